--- a/source/core/limits/allotment.h
+++ b/source/core/limits/allotment.h
@@ -1,6 +1,6 @@
-// The messages between an entry and a workspace's limiter home, as typed
-// values. All amounts are cumulative or absolute, so a lost, repeated or
-// reordered datagram neither makes nor destroys units.
+// The messages between an entry, the node at which calls arrive, and the
+// limiter home of a workspace. All amounts are cumulative or absolute, so a
+// lost, repeated or reordered datagram neither creates nor destroys units.
 
 #ifndef BULRUSHMOUNT_CORE_LIMITS_ALLOTMENT_H_
 #define BULRUSHMOUNT_CORE_LIMITS_ALLOTMENT_H_
@@ -12,62 +12,69 @@
 
 namespace bulrushmount {
 
-// One run of lending between one entry and one home. Rises at the entry.
+// Identifies one uninterrupted series of loans from one home to one entry. The
+// entry increases it for each new session.
 using LendingSession = StrongType<struct LendingSessionTag, std::uint64_t>;
 
-// Orders the requests of one entry; an answer repeats it.
+// Increases with each request of an entry; the answer repeats it.
 using RequestNumber = StrongType<struct RequestNumberTag, std::uint64_t>;
 
 struct AllotmentRequest {
   WorkspaceKey workspace;
   LendingSession session;
   RequestNumber number;
-  // Admitted from granted units on this session since it began, and from the
-  // entry's own allowance, which the home then books. What the lent rate
-  // admitted is not in it: the home has put that rate aside.
+  // Units admitted since the session began, from granted units and from the
+  // local allowance of the entry, which the home then deducts from the account.
+  // Units admitted from the lent rate are not included: the home has already
+  // reserved that rate.
   double used_units = 0;
-  // What the entry wants to have left after the answer.
+  // Unused units that the entry wants to hold after the answer.
   double target_units = 0;
-  // Units a second that callers offer at this entry, admitted or not.
+  // Units per second of the calls that arrive at this entry, admitted or
+  // refused.
   double demand = 0;
   std::uint32_t in_flight = 0;
-  // The in-flight share that the entry would like.
+  // The in-flight share that the entry requests.
   std::uint32_t in_flight_target = 0;
-  // The rate and in-flight share that it may still use, from whatever home.
+  // The rate and in-flight share that the entry may still use, lent by the
+  // current or an earlier home.
   double rate_held = 0;
   std::uint32_t in_flight_held = 0;
-  // The newest answer that the entry has applied; 0 for none.
+  // The latest answer that the entry has applied; 0 for none.
   RequestNumber applied;
-  // The entry gives up everything it still holds; there is no answer.
+  // The entry returns everything that it still holds; the home does not answer.
   bool is_release = false;
 };
 
-// How soon the entry asks again, besides its own reasons.
-enum class AskPace : std::uint8_t {
+// How soon the entry sends its next request, unless the entry has its own
+// reason to send it earlier.
+enum class RequestPace : std::uint8_t {
   kNormal = 0,
-  // There is so much more than all entries use that one whose loan lasts need
-  // not ask before most of its term is over.
-  kAmple = 1,
-  // The home has lowered the rate and waits to hear that the entry goes by it:
-  // until then nobody else can have the difference.
+  // The limits far exceed the demand of all entries, so an entry with enough
+  // credit need not send a request until most of its term is over.
+  kRelaxed = 1,
+  // The home has lowered the rate and waits for the entry to confirm that it
+  // uses the lower one. Until then the difference cannot be lent to another
+  // entry.
   kConfirm = 2,
 };
 
 struct Allotment {
   WorkspaceKey workspace;
   LendingSession session;
-  // Of the request that this answers.
+  // Number of the request that this answers.
   RequestNumber number;
-  // Lent on this session since it began.
+  // Units lent since the session began.
   double granted_units = 0;
-  // Units a second that the entry may admit besides, while the term runs.
+  // Units per second that the entry may admit in addition while the term runs.
   double rate = 0;
-  // Calls that the entry may have in flight.
+  // Maximum number of calls in flight at the entry.
   std::uint32_t in_flight = 0;
   Duration term{};
-  // The home has so many borrowers that it wants this between two requests.
+  // Minimum time between two requests, from the number of borrowers at the
+  // home.
   Duration interval{};
-  AskPace pace = AskPace::kNormal;
+  RequestPace pace = RequestPace::kNormal;
 };
 
 }  // namespace bulrushmount
--- a/source/core/limits/entry_account.cc
+++ b/source/core/limits/entry_account.cc
@@ -9,14 +9,16 @@
 
 namespace {
 
-// Sums of units are rounded differently here and at the home.
-constexpr double kRounding = 1e-6;
+// Tolerance for sums of units, which are rounded differently here and at the
+// home.
+constexpr double kRoundingTolerance = 1e-6;
 
-// Silent homes are asked ever more rarely, up to 2^3 intervals apart.
+// The time between requests to a home that does not answer doubles up to 2^3
+// times the minimum interval.
 constexpr std::uint32_t kMaxBackoffShift = 3;
 
-constexpr double kTellingCalls = 4;
-constexpr double kDemandMemorySeconds = 2;
+constexpr double kSignificantCalls = 4;
+constexpr double kDemandTimeConstantSeconds = 2;
 
 double AllowedRate(const WorkspaceLimits& limits, std::size_t members) {
   return limits.units_per_second / static_cast<double>(members);
@@ -36,16 +38,16 @@
       m_allowance(now,
                   AllowedRate(limits, members),
                   AllowedUnits(settings, limits, members)),
-      m_earned(now, 0, 0) {}
+      m_rate_bucket(now, 0, 0) {}
 
 Reason EntryAccount::TryAdmit(TimePoint now, double units) {
-  EndLapsedSession(now);
-  if (units > m_heaviest) {
-    m_heaviest = units;
-    TakeRate(now, m_rate);
+  EndExpiredSession(now);
+  if (units > m_max_call_units) {
+    m_max_call_units = units;
+    SetRate(now, m_rate);
   }
   m_last_call = now;
-  m_offered += units;
+  m_offered_units += units;
 
   m_peak_in_flight = std::max(m_peak_in_flight, m_in_flight + 1);
   if (m_in_flight >= InFlightShare(now)) {
@@ -66,23 +68,23 @@
     --m_in_flight;
 }
 
-void EntryAccount::Reshape(TimePoint now,
-                           const WorkspaceLimits& limits,
-                           std::size_t members) {
+void EntryAccount::Reconfigure(TimePoint now,
+                               const WorkspaceLimits& limits,
+                               std::size_t members) {
   m_allowed_in_flight = AllowedInFlight(m_settings, limits, members);
-  m_allowance.Reshape(now, AllowedRate(limits, members),
-                      AllowedUnits(m_settings, limits, members));
+  m_allowance.Reconfigure(now, AllowedRate(limits, members),
+                          AllowedUnits(m_settings, limits, members));
   if (limits == m_limits)
     return;
-  // The old contract's credit must not outlive it.
+  // Credit that was lent under the old contract must not exceed the new limits.
   const double capacity = LendingCapacity(m_settings, limits);
-  m_granted = std::min(m_granted, m_used + capacity);
-  m_share = std::min(m_share, limits.in_flight);
-  m_former.units = std::min(m_former.units, capacity);
-  TakeRate(now, std::min(m_rate, limits.units_per_second));
-  m_former.in_flight = std::min(m_former.in_flight, limits.in_flight);
+  m_granted_units = std::min(m_granted_units, m_used_units + capacity);
+  m_in_flight_share = std::min(m_in_flight_share, limits.in_flight);
+  m_former_loan.units = std::min(m_former_loan.units, capacity);
+  SetRate(now, std::min(m_rate, limits.units_per_second));
+  m_former_loan.in_flight = std::min(m_former_loan.in_flight, limits.in_flight);
   m_limits = limits;
-  m_must_ask = true;
+  m_is_request_due = true;
 }
 
 void EntryAccount::SetHome(TimePoint now, const Peer& home) {
@@ -91,7 +93,8 @@
   if (is_same)
     return;
   if (HasLoan(now))
-    m_former = {std::max(0.0, Balance()), m_share, m_valid_until};
+    m_former_loan = {std::max(0.0, Balance()), m_in_flight_share,
+                     m_valid_until};
   EndSession();
 }
 
@@ -100,14 +103,14 @@
 }
 
 bool EntryAccount::IsStarved() const {
-  return m_was_refused || Balance() < m_target / 4 ||
-         m_in_flight * 4 > m_share * 3;
+  return m_was_refused || Balance() < m_target_units / 4 ||
+         m_in_flight * 4 > m_in_flight_share * 3;
 }
 
 bool EntryAccount::IsDue(TimePoint now,
                          Duration interval,
                          Duration starved_interval) const {
-  if (m_must_ask)
+  if (m_is_request_due)
     return true;
   const Duration waited = now - m_last_request.sent_at;
   if (m_unanswered > 0) {
@@ -121,13 +124,13 @@
 
 Duration EntryAccount::WantedInterval(Duration interval,
                                       Duration starved_interval) const {
-  if (m_pace == AskPace::kConfirm)
+  if (m_pace == RequestPace::kConfirm)
     return m_settings.min_interval;
   if (IsStarved())
     return std::max(starved_interval, m_home_interval);
-  if (m_pace == AskPace::kAmple)
-    return std::max(interval,
-                    FromSeconds(m_settings.calm_part * ToSeconds(m_term)));
+  if (m_pace == RequestPace::kRelaxed)
+    return std::max(interval, FromSeconds(m_settings.relaxed_term_part *
+                                          ToSeconds(m_term)));
   return std::max(interval, m_home_interval);
 }
 
@@ -135,36 +138,37 @@
                                            Duration interval,
                                            RequestNumber number,
                                            std::uint64_t& next_session) {
-  EndLapsedSession(now);
+  EndExpiredSession(now);
   UpdateDemand(now);
   if (m_session == LendingSession())
     m_session = LendingSession(next_session++);
   const double capacity = LendingCapacity(m_settings, m_limits);
-  // The rate carries the steady part; units are for what comes at once.
+  // The lent rate covers steady demand; units cover bursts.
   const Duration ahead = std::min(2 * interval, m_settings.lending_horizon);
-  m_target = std::max(2 * m_heaviest, m_demand * ToSeconds(ahead));
-  m_target = std::min(m_target, capacity);
+  m_target_units = std::max(2 * m_max_call_units, m_demand * ToSeconds(ahead));
+  m_target_units = std::min(m_target_units, capacity);
 
   AllotmentRequest request;
   request.workspace = m_key;
   request.session = m_session;
   request.number = number;
-  request.used_units = m_used;
-  request.target_units = m_target;
+  request.used_units = m_used_units;
+  request.target_units = m_target_units;
   request.demand = m_demand;
   request.in_flight = m_in_flight;
   request.in_flight_target =
       std::min(m_limits.in_flight, 2 * m_peak_in_flight + 1);
-  request.in_flight_held = HasLoan(now)                 ? m_share
-                           : now < m_former.valid_until ? m_former.in_flight
-                                                        : 0;
+  request.in_flight_held = HasLoan(now) ? m_in_flight_share
+                           : now < m_former_loan.valid_until
+                               ? m_former_loan.in_flight
+                               : 0;
   request.rate_held = IsRateValid(now) ? m_rate : 0;
   request.applied = m_applied;
 
   m_previous_request = m_last_request;
   m_last_request = {number, now};
   ++m_unanswered;
-  m_must_ask = false;
+  m_is_request_due = false;
   m_was_refused = false;
   m_peak_in_flight = std::max(m_in_flight, m_peak_in_flight / 2);
   return request;
@@ -180,12 +184,12 @@
   request.workspace = m_key;
   request.session = m_session;
   request.number = number;
-  request.used_units = m_used;
+  request.used_units = m_used_units;
   request.applied = m_applied;
   request.is_release = true;
   EndSession();
-  m_former = FormerLoan();
-  TakeRate(now, 0);
+  m_former_loan = FormerLoan();
+  SetRate(now, 0);
   m_demand = 0;
   return request;
 }
@@ -201,102 +205,107 @@
   else
     return;
   m_valid_until = std::max(m_valid_until, sent_at + allotment.term);
-  m_granted = std::max(m_granted, allotment.granted_units);
-  m_share = allotment.in_flight;
-  TakeRate(now, allotment.rate);
+  m_granted_units = std::max(m_granted_units, allotment.granted_units);
+  m_in_flight_share = allotment.in_flight;
+  SetRate(now, allotment.rate);
   m_home_interval = allotment.interval;
   m_pace = allotment.pace;
   m_term = allotment.term;
   m_applied = allotment.number;
   m_unanswered = 0;
-  m_former = FormerLoan();
+  m_former_loan = FormerLoan();
   if (Balance() >= 0)
     m_allowance.Fill();
 }
 
-bool EntryAccount::IsSilent() const {
-  return m_unanswered > m_settings.silent_after;
+bool EntryAccount::IsHomeSilent() const {
+  return m_unanswered > m_settings.max_unanswered_requests;
 }
 
 std::uint32_t EntryAccount::InFlightShare(TimePoint now) const {
   if (HasLoan(now))
-    return IsSilent() ? std::max(m_share, m_allowed_in_flight) : m_share;
-  if (now < m_former.valid_until)
-    return std::max(m_former.in_flight, m_allowed_in_flight);
+    return IsHomeSilent() ? std::max(m_in_flight_share, m_allowed_in_flight)
+                          : m_in_flight_share;
+  if (now < m_former_loan.valid_until)
+    return std::max(m_former_loan.in_flight, m_allowed_in_flight);
   return m_allowed_in_flight;
 }
 
 bool EntryAccount::TakeUnits(TimePoint now, double units) {
   if (TakeLentUnits(now, units))
     return true;
-  // A home that does not answer cannot lend more: the entry's own part of the
-  // limit is then what is left.
-  if (HasLoan(now) && !IsSilent())
+  // While the home answers, the loan is the limit. A home that does not answer
+  // cannot lend more, so the entry then falls back to its local allowance.
+  if (HasLoan(now) && !IsHomeSilent())
     return false;
   if (!m_allowance.TryTake(now, units))
     return false;
-  m_used += units;
+  m_used_units += units;
   return true;
 }
 
 bool EntryAccount::IsRateValid(TimePoint now) const {
-  return HasLoan(now) || now < m_former.valid_until;
+  return HasLoan(now) || now < m_former_loan.valid_until;
 }
 
-void EntryAccount::TakeRate(TimePoint now, double rate) {
-  const double saved = rate * ToSeconds(m_settings.rate_saving);
+void EntryAccount::SetRate(TimePoint now, double rate) {
+  const double saved = rate * ToSeconds(m_settings.rate_burst_window);
   m_rate = rate;
-  m_earned.Reshape(now, rate, rate > 0 ? std::max(saved, 2 * m_heaviest) : 0);
+  m_rate_bucket.Reconfigure(
+      now, rate, rate > 0 ? std::max(saved, 2 * m_max_call_units) : 0);
 }
 
 bool EntryAccount::TakeLentUnits(TimePoint now, double units) {
   if (!IsRateValid(now))
     return false;
-  const double available = HasLoan(now) ? Balance() : m_former.units;
-  // A request heavier than an entry can ever borrow goes into debt instead.
+  const double available = HasLoan(now) ? Balance() : m_former_loan.units;
+  // A call that costs more than an entry can ever borrow puts the account into
+  // debt instead of being refused forever.
   const double needed =
       std::min(units, LendingCapacity(m_settings, m_limits) / 2);
-  if (m_earned.Level(now) + std::max(0.0, available) + kRounding < needed)
+  if (m_rate_bucket.Level(now) + std::max(0.0, available) + kRoundingTolerance <
+      needed)
     return false;
-  const double rest = units - m_earned.TakeUpTo(now, units);
+  const double rest = units - m_rate_bucket.TakeUpTo(now, units);
   if (HasLoan(now))
-    m_used += rest;
+    m_used_units += rest;
   else
-    m_former.units -= rest;
+    m_former_loan.units -= rest;
   return true;
 }
 
 void EntryAccount::EndSession() {
   m_session = LendingSession();
-  m_granted = 0;
-  m_used = 0;
-  m_share = 0;
-  m_pace = AskPace::kNormal;
+  m_granted_units = 0;
+  m_used_units = 0;
+  m_in_flight_share = 0;
+  m_pace = RequestPace::kNormal;
   m_valid_until = TimePoint();
   m_unanswered = 0;
-  m_must_ask = true;
+  m_is_request_due = true;
 }
 
-void EntryAccount::EndLapsedSession(TimePoint now) {
+void EntryAccount::EndExpiredSession(TimePoint now) {
   if (m_valid_until != TimePoint() && now >= m_valid_until)
     EndSession();
   if (m_rate > 0 && !IsRateValid(now))
-    TakeRate(now, 0);
+    SetRate(now, 0);
 }
 
 void EntryAccount::UpdateDemand(TimePoint now) {
   const Duration since =
       std::max(now - m_last_request.sent_at, m_settings.min_interval);
-  const double latest = m_offered / ToSeconds(since);
-  // A few calls more or less in a short time say little; many say at once that
-  // demand has risen.
-  const bool is_rise = m_offered > kTellingCalls * m_heaviest;
+  const double latest = m_offered_units / ToSeconds(since);
+  // A few calls more or less in a short time are noise and are smoothed. Many
+  // calls at once show that demand has risen, so the new value is used
+  // immediately.
+  const bool is_rise = m_offered_units > kSignificantCalls * m_max_call_units;
   const double weight =
       m_demand == 0 || (is_rise && latest > m_demand)
           ? 1.0
-          : 1.0 - std::exp(-ToSeconds(since) / kDemandMemorySeconds);
+          : 1.0 - std::exp(-ToSeconds(since) / kDemandTimeConstantSeconds);
   m_demand += weight * (latest - m_demand);
-  m_offered = 0;
+  m_offered_units = 0;
 }
 
 }  // namespace bulrushmount::detail
--- a/source/core/limits/limiter_home.cc
+++ b/source/core/limits/limiter_home.cc
@@ -9,11 +9,12 @@
 
 namespace {
 
-// Between two looks for loans whose term is over.
+// Time between two removals of loans whose term is over.
 constexpr Duration kSweepPeriod = std::chrono::seconds(1);
 
-// A rate lowered to less than this part of it is worth a request to confirm.
-constexpr double kLowered = 0.9;
+// If a rate is lowered below this fraction of the rate that still counts, the
+// home asks the entry to confirm it.
+constexpr double kConfirmBelowPart = 0.9;
 
 void AddToSums(detail::LimitAccount& account, const detail::Loan& loan) {
   account.outstanding += loan.granted_units - loan.used_units;
@@ -24,7 +25,7 @@
   account.in_flight_target += loan.in_flight_target;
 }
 
-void TakeFromSums(detail::LimitAccount& account, const detail::Loan& loan) {
+void SubtractFromSums(detail::LimitAccount& account, const detail::Loan& loan) {
   account.outstanding -= loan.granted_units - loan.used_units;
   account.demand -= loan.demand;
   account.unknown_demands -= loan.demand > 0 ? 0 : 1;
@@ -33,8 +34,9 @@
   account.in_flight_target -= loan.in_flight_target;
 }
 
-// A repeated or overtaken request must not change the account.
-bool IsOld(const detail::Loan& loan, const AllotmentRequest& request) {
+// Returns whether `request` is repeated or reordered; it must not change the
+// account.
+bool IsStale(const detail::Loan& loan, const AllotmentRequest& request) {
   if (request.session != loan.session)
     return request.session < loan.session;
   return request.number <= loan.number;
@@ -93,22 +95,22 @@
   detail::LimitAccount& account =
       AccountOf(now, request.workspace, limits->second);
   Refill(now, account);
-  Sweep(now, account);
+  RemoveExpiredLoans(now, account);
 
   const auto known = account.loans.find(entry);
   if (known != account.loans.end()) {
-    if (IsOld(known->second, request))
+    if (IsStale(known->second, request))
       return std::nullopt;
-    TakeFromSums(account, known->second);
+    SubtractFromSums(account, known->second);
     if (known->second.session != request.session)
       known->second = detail::Loan();
   }
   detail::Loan& loan = account.loans[entry];
   loan.session = request.session;
   loan.number = request.number;
-  BookUse(account, loan, request);
+  RecordUse(account, loan, request);
   if (request.is_release) {
-    // The entry has dropped it, so it can be lent again.
+    // The entry no longer uses the rest, so it can be lent again.
     account.level =
         std::min(account.limits.burst_units,
                  account.level + loan.granted_units - loan.used_units);
@@ -118,10 +120,10 @@
   LendUnits(now, account, loan, request);
   LendRate(now, account, loan, request);
   LendInFlight(now, account, loan, request);
-  const AskPace pace = PaceFor(now, account, loan);
+  const RequestPace pace = PaceFor(now, account, loan);
   loan.lent_by = request.number;
   const Duration term = Term(m_settings, m_members);
-  loan.counted_until = now + term + m_settings.margin;
+  loan.counted_until = now + term + m_settings.clock_drift_margin;
   AddToSums(account, loan);
 
   Allotment allotment;
@@ -141,16 +143,16 @@
   for (auto item = m_accounts.begin(); item != m_accounts.end();) {
     detail::LimitAccount& account = item->second;
     Refill(now, account);
-    Sweep(now, account);
+    RemoveExpiredLoans(now, account);
     const bool is_full = account.level >= account.limits.burst_units;
     const bool is_idle = account.loans.empty() && is_full;
     item = is_idle ? m_accounts.erase(item) : std::next(item);
   }
 }
 
-// A home that is new to a workspace starts with nothing to lend and earns at
-// the workspace's rate. What goes wrong else: the old home's loans are still in
-// use, and a second full burst goes out beside them.
+// A home that is new to a workspace starts without units and earns them at the
+// rate of the workspace. If it started full, a second full burst could be lent
+// while loans of the old home are still in use.
 detail::LimitAccount& LimiterHome::AccountOf(TimePoint now,
                                              WorkspaceKey workspace,
                                              const WorkspaceLimits& limits) {
@@ -158,19 +160,19 @@
   detail::LimitAccount& account = found->second;
   if (is_new) {
     account.limits = limits;
-    account.level = FirstLevel(now, limits);
+    account.level = InitialLevel(now, limits);
     account.refilled_at = now;
     account.swept_at = now;
-    account.begun_at = now;
-    account.grace_until = m_home_since + m_settings.grace;
+    account.lending_started_at = now;
+    account.grace_until = m_home_since + m_settings.handover_grace;
   }
   return account;
 }
 
-double LimiterHome::FirstLevel(TimePoint now,
-                               const WorkspaceLimits& limits) const {
+double LimiterHome::InitialLevel(TimePoint now,
+                                 const WorkspaceLimits& limits) const {
   const Duration since = now - m_home_since;
-  const Duration in_grace = std::min(since, m_settings.grace);
+  const Duration in_grace = std::min(since, m_settings.handover_grace);
   const double unlent_part = 1.0 - LendablePart(m_settings, m_members);
   const double seconds =
       unlent_part * ToSeconds(in_grace) + ToSeconds(since - in_grace);
@@ -180,7 +182,7 @@
 Duration LimiterHome::IntervalFor(TimePoint now,
                                   const detail::LimitAccount& account,
                                   const detail::Loan& loan) const {
-  const bool is_first = loan.demand <= 0 || IsBeginning(now, account);
+  const bool is_first = loan.demand <= 0 || IsRampingUp(now, account);
   const double requests_per_second =
       is_first ? m_settings.home_first_requests_per_second
                : m_settings.home_requests_per_second;
@@ -189,46 +191,47 @@
   return std::min(FromSeconds(seconds), MaxInterval(m_settings, m_members));
 }
 
-// Some entries have been told when to ask for the second time, with their
-// demand, and that time may not have come.
-bool LimiterHome::IsBeginning(TimePoint now,
+// Returns whether some entries may not have sent their second request yet,
+// which is the first one that reports a demand.
+bool LimiterHome::IsRampingUp(TimePoint now,
                               const detail::LimitAccount& account) const {
   const double seconds = static_cast<double>(account.loans.size()) /
                          m_settings.home_first_requests_per_second;
-  return now - account.begun_at < 2 * FromSeconds(seconds);
+  return now - account.lending_started_at < 2 * FromSeconds(seconds);
 }
 
 double LimiterHome::HeadroomFor(TimePoint now,
                                 const detail::LimitAccount& account,
                                 const detail::Loan& loan) const {
   const double total = account.demand + loan.demand;
-  if (total <= 0 || now < account.grace_until || IsBeginning(now, account))
+  if (total <= 0 || now < account.grace_until || IsRampingUp(now, account))
     return m_settings.rate_headroom;
-  const double spared = m_settings.ample_part *
-                        account.limits.units_per_second *
-                        LendablePart(m_settings, m_members);
-  return std::clamp(spared / total, m_settings.rate_headroom,
-                    m_settings.ample_headroom);
+  const double low_use_rate = m_settings.low_use_rate_part *
+                              account.limits.units_per_second *
+                              LendablePart(m_settings, m_members);
+  return std::clamp(low_use_rate / total, m_settings.rate_headroom,
+                    m_settings.max_rate_headroom);
 }
 
-AskPace LimiterHome::PaceFor(TimePoint now,
-                             const detail::LimitAccount& account,
-                             const detail::Loan& loan) const {
+RequestPace LimiterHome::PaceFor(TimePoint now,
+                                 const detail::LimitAccount& account,
+                                 const detail::Loan& loan) const {
   if (loan.demand <= 0)
-    return AskPace::kNormal;
+    return RequestPace::kNormal;
   const double rate = account.limits.units_per_second;
   const bool is_scarce =
       (account.demand + loan.demand) * m_settings.rate_headroom >
       rate * LendablePart(m_settings, m_members);
-  if (is_scarce && loan.rate_lent < kLowered * loan.rate_counted)
-    return AskPace::kConfirm;
-  const double calm_rate = m_settings.calm_headroom * loan.demand;
+  if (is_scarce && loan.rate_lent < kConfirmBelowPart * loan.rate_counted)
+    return RequestPace::kConfirm;
+  const double relaxed_rate = m_settings.relaxed_headroom * loan.demand;
   const bool has_units = loan.granted_units > loan.used_units;
   const bool has_calls =
       2 * (account.in_flight_target + loan.in_flight_target) <=
       account.limits.in_flight;
-  const bool is_ample = loan.rate_lent >= calm_rate && has_units && has_calls;
-  return is_ample ? AskPace::kAmple : AskPace::kNormal;
+  const bool is_relaxed =
+      loan.rate_lent >= relaxed_rate && has_units && has_calls;
+  return is_relaxed ? RequestPace::kRelaxed : RequestPace::kNormal;
 }
 
 void LimiterHome::Refill(TimePoint now, detail::LimitAccount& account) const {
@@ -240,7 +243,8 @@
   const double unlent_rate = limits.units_per_second * unlent_part;
   const double rate =
       std::max(0.0, limits.units_per_second - account.rate_counted);
-  // Entries may go by an old home's rates until the grace is over.
+  // Entries may use rates of an old home until the grace time is over, so only
+  // the unlent rate accrues until then.
   const Duration in_grace =
       std::clamp(account.grace_until - account.refilled_at, Duration(0),
                  now - account.refilled_at);
@@ -252,27 +256,28 @@
   account.refilled_at = now;
 }
 
-void LimiterHome::Sweep(TimePoint now, detail::LimitAccount& account) const {
+void LimiterHome::RemoveExpiredLoans(TimePoint now,
+                                     detail::LimitAccount& account) const {
   if (now - account.swept_at < kSweepPeriod)
     return;
   account.swept_at = now;
   std::erase_if(account.loans, [&](const auto& item) {
     const bool is_over = item.second.counted_until <= now;
     if (is_over)
-      TakeFromSums(account, item.second);
+      SubtractFromSums(account, item.second);
     return is_over;
   });
   if (account.loans.empty()) {
-    // Rounding must not add up over months.
+    // Resets the sums so that rounding errors do not accumulate over months.
     account.outstanding = 0;
     account.demand = 0;
     account.rate_counted = 0;
   }
 }
 
-void LimiterHome::BookUse(detail::LimitAccount& account,
-                          detail::Loan& loan,
-                          const AllotmentRequest& request) const {
+void LimiterHome::RecordUse(detail::LimitAccount& account,
+                            detail::Loan& loan,
+                            const AllotmentRequest& request) const {
   if (request.used_units > loan.granted_units) {
     account.level -= request.used_units - loan.granted_units;
     loan.granted_units = request.used_units;
@@ -282,8 +287,9 @@
   loan.in_flight = request.in_flight;
   loan.in_flight_target = request.in_flight_target;
 
-  // After a partition the other side's admissions come in as debt. A workspace
-  // must not be shut out for its whole length, so the debt has a floor.
+  // After a partition the units admitted on the other side are deducted as
+  // debt. The debt is bounded, so that a workspace is not refused for as long
+  // as the partition lasted.
   const double allowances =
       AllowedUnits(m_settings, account.limits, m_members) *
       static_cast<double>(m_members);
@@ -292,22 +298,23 @@
   account.level = std::max(account.level, -floor);
 }
 
-// What goes wrong else: an entry that has a loan goes by it alone, so a
-// workspace far below its limit is refused when its demand rises within
-// milliseconds, as the first loan is what its first call asked for. One would
-// see refusals with workspace-rate-limit in the first seconds of a fleet or of
-// a limiter home. So what nobody has asked for goes out in advance. At the
-// beginning any member may be about to ask, and each gets an equal part; later
-// the entries are known.
-double LimiterHome::UnitsInAdvance(TimePoint now,
-                                   const detail::LimitAccount& account,
-                                   double level) const {
+// Units that no entry has requested are lent in advance. An entry that has a
+// loan admits only from it, and its first loan is sized by its first call.
+// Without units in advance a workspace far below its limit would be refused
+// with workspace-rate-limit when its demand rises within milliseconds, in the
+// first seconds of a fleet or of a limiter home. While the home ramps up, every
+// member may be about to send a request and each gets an equal part; later only
+// the known borrowers share.
+double LimiterHome::AdvanceUnits(TimePoint now,
+                                 const detail::LimitAccount& account,
+                                 double level) const {
   const std::size_t loans = account.loans.size();
-  const std::size_t takers = IsBeginning(now, account)
+  const std::size_t takers = IsRampingUp(now, account)
                                  ? std::max(m_members, loans) - loans + 1
                                  : loans;
   const double equal_part = level / static_cast<double>(takers + 1);
-  // The workspace may use one entry only, which then wants to burst there.
+  // If the workspace uses a single entry, that entry needs a large part of the
+  // burst.
   const double spare = level - account.limits.burst_units / 2;
   return std::max(spare, equal_part);
 }
@@ -320,24 +327,26 @@
   const double level = std::max(0.0, account.level);
   const double balance = loan.granted_units - loan.used_units;
   double amount = std::clamp(request.target_units - balance, 0.0, level);
-  if (HeadroomFor(now, account, loan) >= m_settings.calm_headroom) {
-    const double calm = m_settings.calm_units * request.target_units - balance;
-    amount = std::max(amount, std::min(calm, level / 8));
+  if (HeadroomFor(now, account, loan) >= m_settings.relaxed_headroom) {
+    const double relaxed_units =
+        m_settings.relaxed_units_factor * request.target_units - balance;
+    amount = std::max(amount, std::min(relaxed_units, level / 8));
   }
 
   const double total_demand = account.demand + loan.demand;
   const bool is_scarce =
       total_demand > limits.units_per_second && loan.demand > 0;
   if (is_scarce) {
-    // Each entry gets its part of what has come in since its last loan, or the
-    // entries that ask first would take all.
+    // Each entry gets its share of the units earned since its last loan.
+    // Otherwise the entries that send their requests first would take all
+    // units.
     const Duration since = loan.lent_at == TimePoint() ? m_settings.min_interval
                                                        : now - loan.lent_at;
     const double earned = limits.units_per_second * ToSeconds(since);
     const double part = loan.demand / total_demand;
     amount = std::min(amount, part * (level + earned));
   } else {
-    amount = std::max(amount, UnitsInAdvance(now, account, level) - balance);
+    amount = std::max(amount, AdvanceUnits(now, account, level) - balance);
   }
 
   account.level -= amount;
@@ -351,20 +360,21 @@
                            const AllotmentRequest& request) const {
   const double lendable =
       account.limits.units_per_second * LendablePart(m_settings, m_members);
-  // A smaller rate counts only from when the entry has taken it.
+  // A lower rate counts only once the entry has applied it.
   if (request.applied >= loan.lent_by)
     loan.rate_counted = loan.rate_lent;
 
   const double headroom = HeadroomFor(now, account, loan);
   double wanted = loan.demand * headroom;
   double total = (account.demand + loan.demand) * headroom;
-  // What goes wrong else: of a thousand entries that all see the workspace, the
-  // first to tell their demand get the whole rate, and it takes rounds of
-  // requests to get it back for the others.
-  if (IsBeginning(now, account))
+  // Entries with unknown demand count like this one. Otherwise, in a fleet of a
+  // thousand entries that all receive calls of the workspace, the first ones to
+  // report demand would get the whole rate, and it would take several rounds of
+  // requests to redistribute it.
+  if (IsRampingUp(now, account))
     total += static_cast<double>(account.unknown_demands) * wanted;
-  // In the grace an entry keeps what it has, but gets no more; the shares were
-  // fair at the old home, and not all demand is known yet.
+  // During the grace time an entry keeps its rate but gets no more: the old
+  // home has shared the rate fairly, and not all demand is known here yet.
   if (now < account.grace_until)
     wanted = std::min(wanted, std::max(request.rate_held, loan.rate_lent));
   else if (total > lendable)
@@ -379,7 +389,7 @@
                                detail::Loan& loan,
                                const AllotmentRequest& request) const {
   const std::uint32_t limit = account.limits.in_flight;
-  // A smaller share counts only from when the entry has taken it.
+  // A smaller share counts only once the entry has applied it.
   if (request.applied >= loan.lent_by)
     loan.in_flight_counted = loan.in_flight_lent;
   loan.in_flight_counted = std::max(loan.in_flight_counted, loan.in_flight);
--- a/source/core/limits/limiter_home.h
+++ b/source/core/limits/limiter_home.h
@@ -1,5 +1,7 @@
-// The home's side of the workspace limits: it keeps the one account of a
-// workspace and lends from it to the entries that see demand.
+// The limiter home: holds the single account of each workspace whose home this
+// node is, and lends units, rate and in-flight shares from it to the entries
+// with demand. Needs the same member list at all nodes; while lists differ, the
+// grace time and the terms bound what is lent twice.
 
 #ifndef BULRUSHMOUNT_CORE_LIMITS_LIMITER_HOME_H_
 #define BULRUSHMOUNT_CORE_LIMITS_LIMITER_HOME_H_
@@ -18,45 +20,47 @@
 
 namespace detail {
 
-// What one entry has borrowed of one workspace's limits.
+// What one entry has borrowed of the limits of one workspace.
 struct Loan {
   LendingSession session;
   RequestNumber number;
-  // used <= granted.
+  // Cumulative over the session; used_units <= granted_units.
   double granted_units = 0;
   double used_units = 0;
   double demand = 0;
-  // The rate last lent, and the largest that the entry may still go by.
+  // The rate last lent, and the largest rate that the entry may still use.
   double rate_lent = 0;
   double rate_counted = 0;
   std::uint32_t in_flight = 0;
   std::uint32_t in_flight_target = 0;
-  // The share last lent, and the largest that the entry may still go by.
+  // The in-flight share last lent, and the largest one that the entry may still
+  // use.
   std::uint32_t in_flight_lent = 0;
   std::uint32_t in_flight_counted = 0;
   RequestNumber lent_by;
   TimePoint lent_at;
-  // After this the entry certainly goes by nothing of this loan.
+  // From this time on the entry certainly uses nothing of this loan.
   TimePoint counted_until;
 };
 
-// A workspace's limits and what is lent of them. Units at the home and units
-// lent and not yet used are together at most LendingCapacity().
+// The limits of a workspace and what is lent of them. Units at the home plus
+// lent and unused units are at most LendingCapacity().
 struct LimitAccount {
   WorkspaceLimits limits;
-  // Negative after entries have used their own allowances.
+  // Units at the home. Negative after entries have admitted calls from their
+  // local allowances.
   double level = 0;
   TimePoint refilled_at;
-  // Earlier homes' allotments may be in use until then.
+  // Allotments of an earlier home may be in use until this time.
   TimePoint grace_until;
-  // The home began to lend.
-  TimePoint begun_at;
+  // When the home began to lend for this workspace.
+  TimePoint lending_started_at;
   TimePoint swept_at;
   std::unordered_map<NodeId, Loan> loans;
   // Sums over `loans`.
   double outstanding = 0;
   double demand = 0;
-  // Loans whose entry has told no demand.
+  // Number of loans whose entry has not reported a demand yet.
   std::size_t unknown_demands = 0;
   double rate_counted = 0;
   std::uint64_t in_flight_counted = 0;
@@ -73,23 +77,25 @@
   void RemoveWorkspace(WorkspaceKey workspace);
   std::optional<WorkspaceLimits> LimitsOf(WorkspaceKey workspace) const;
 
-  // `has_departure`: workspaces may have moved here, with loans of their old
-  // home still in use. `is_home` says which accounts stay.
+  // Drops the accounts for which `is_home` returns false. With `has_departure`,
+  // workspaces may have moved to this node while loans of their old home are
+  // still in use.
   void OnMembersChanged(TimePoint now,
                         std::size_t members,
                         bool has_departure,
                         const std::function<bool(WorkspaceKey)>& is_home);
 
-  // The request of `entry` for a workspace whose home this node is. Empty for
-  // an unknown workspace, a release, and a request older than one seen.
+  // Handles a request of `entry` for a workspace whose home this node is.
+  // Returns nothing for an unknown workspace, a release, or a request that is
+  // not newer than the latest one.
   std::optional<Allotment> OnRequest(TimePoint now,
                                      NodeId entry,
                                      const AllotmentRequest& request);
 
-  // Forgets the accounts that nobody borrows from and that are full again.
+  // Drops accounts that are full again and have no loans.
   void OnTimer(TimePoint now);
 
-  // Accounts in use; none needs a timer.
+  // Number of accounts. While it is 0, OnTimer need not be called.
   std::size_t AccountCount() const { return m_accounts.size(); }
 
  private:
@@ -97,24 +103,24 @@
                                   WorkspaceKey workspace,
                                   const WorkspaceLimits& limits);
   void Refill(TimePoint now, detail::LimitAccount& account) const;
-  void Sweep(TimePoint now, detail::LimitAccount& account) const;
-  double FirstLevel(TimePoint now, const WorkspaceLimits& limits) const;
+  void RemoveExpiredLoans(TimePoint now, detail::LimitAccount& account) const;
+  double InitialLevel(TimePoint now, const WorkspaceLimits& limits) const;
   Duration IntervalFor(TimePoint now,
                        const detail::LimitAccount& account,
                        const detail::Loan& loan) const;
-  bool IsBeginning(TimePoint now, const detail::LimitAccount& account) const;
+  bool IsRampingUp(TimePoint now, const detail::LimitAccount& account) const;
   double HeadroomFor(TimePoint now,
                      const detail::LimitAccount& account,
                      const detail::Loan& loan) const;
-  AskPace PaceFor(TimePoint now,
-                  const detail::LimitAccount& account,
-                  const detail::Loan& loan) const;
-  void BookUse(detail::LimitAccount& account,
-               detail::Loan& loan,
-               const AllotmentRequest& request) const;
-  double UnitsInAdvance(TimePoint now,
-                        const detail::LimitAccount& account,
-                        double level) const;
+  RequestPace PaceFor(TimePoint now,
+                      const detail::LimitAccount& account,
+                      const detail::Loan& loan) const;
+  void RecordUse(detail::LimitAccount& account,
+                 detail::Loan& loan,
+                 const AllotmentRequest& request) const;
+  double AdvanceUnits(TimePoint now,
+                      const detail::LimitAccount& account,
+                      double level) const;
   void LendUnits(TimePoint now,
                  detail::LimitAccount& account,
                  detail::Loan& loan,
@@ -130,7 +136,7 @@
 
   LimitsSettings m_settings;
   std::size_t m_members = 1;
-  // The last time that workspaces may have moved here.
+  // The last time that workspaces may have moved to this node.
   TimePoint m_home_since;
   std::unordered_map<WorkspaceKey, WorkspaceLimits> m_limits;
   std::unordered_map<WorkspaceKey, detail::LimitAccount> m_accounts;
--- a/source/core/limits/limits_codec.cc
+++ b/source/core/limits/limits_codec.cc
@@ -12,14 +12,14 @@
 
 namespace {
 
-// The largest encoding of one message with its tag and length; a fixed count a
-// datagram needs no trial encoding.
+// Upper bound of the encoded size of one message with its tag and length, in
+// bytes. A fixed number of messages per datagram then needs no trial encoding.
 constexpr std::size_t kMaxMessageSize = 96;
 constexpr std::size_t kSenderSize = 9;
 constexpr std::size_t kMessagesPerDatagram =
     (kMaxDatagramPayload - kSenderSize) / kMaxMessageSize;
 
-bool IsAmount(double value) {
+bool IsValidAmount(double value) {
   return std::isfinite(value) && value >= 0;
 }
 
@@ -55,8 +55,8 @@
 }
 
 std::optional<AllotmentRequest> Decode(const wire::AllotmentRequest& in) {
-  if (!IsAmount(in.used_units()) || !IsAmount(in.target_units()) ||
-      !IsAmount(in.demand()) || !IsAmount(in.rate_held()))
+  if (!IsValidAmount(in.used_units()) || !IsValidAmount(in.target_units()) ||
+      !IsValidAmount(in.demand()) || !IsValidAmount(in.rate_held()))
     return std::nullopt;
   AllotmentRequest request;
   request.workspace = WorkspaceKey(in.workspace());
@@ -75,7 +75,7 @@
 }
 
 std::optional<Allotment> Decode(const wire::Allotment& in) {
-  if (!IsAmount(in.granted_units()) || !IsAmount(in.rate()))
+  if (!IsValidAmount(in.granted_units()) || !IsValidAmount(in.rate()))
     return std::nullopt;
   Allotment allotment;
   allotment.workspace = WorkspaceKey(in.workspace());
@@ -86,15 +86,17 @@
   allotment.rate = in.rate();
   allotment.term = std::chrono::milliseconds(in.term_ms());
   allotment.interval = std::chrono::milliseconds(in.interval_ms());
-  if (in.pace() <= static_cast<std::uint32_t>(AskPace::kConfirm))
-    allotment.pace = static_cast<AskPace>(in.pace());
+  if (in.pace() <= static_cast<std::uint32_t>(RequestPace::kConfirm))
+    allotment.pace = static_cast<RequestPace>(in.pace());
   return allotment;
 }
 
-// Collects messages and starts a new datagram when one is full.
-class Packer {
+// Adds messages to the current datagram and starts a new one when it is full.
+class DatagramPacker {
  public:
-  explicit Packer(NodeId sender) { m_datagram.set_sender(sender.value()); }
+  explicit DatagramPacker(NodeId sender) {
+    m_datagram.set_sender(sender.value());
+  }
 
   wire::LimitsDatagram& Next() {
     if (m_count == kMessagesPerDatagram)
@@ -125,12 +127,12 @@
 }  // namespace
 
 std::vector<std::string> EncodeLimits(const LimitsDatagram& datagram) {
-  Packer packer(datagram.sender);
+  DatagramPacker datagram_packer(datagram.sender);
   for (const AllotmentRequest& request : datagram.requests)
-    Encode(request, *packer.Next().add_requests());
+    Encode(request, *datagram_packer.Next().add_requests());
   for (const Allotment& allotment : datagram.allotments)
-    Encode(allotment, *packer.Next().add_allotments());
-  return packer.Finish();
+    Encode(allotment, *datagram_packer.Next().add_allotments());
+  return datagram_packer.Finish();
 }
 
 std::optional<LimitsDatagram> DecodeLimits(std::string_view bytes) {
--- a/source/core/limits/limits_codec.h
+++ b/source/core/limits/limits_codec.h
@@ -1,4 +1,4 @@
-// The datagrams of the workspace limits: typed messages to bytes and back.
+// Encodes and decodes the datagrams of the workspace limits.
 
 #ifndef BULRUSHMOUNT_CORE_LIMITS_LIMITS_CODEC_H_
 #define BULRUSHMOUNT_CORE_LIMITS_LIMITS_CODEC_H_
@@ -19,11 +19,13 @@
   std::vector<Allotment> allotments;
 };
 
-// As many datagrams as it takes to stay within kMaxDatagramPayload each.
+// Splits the messages into as many datagrams as needed to keep each within
+// kMaxDatagramPayload.
 std::vector<std::string> EncodeLimits(const LimitsDatagram& datagram);
 
-// Empty for what is no such datagram, and for amounts that make no sense: a
-// damaged number must not open or close an account.
+// Returns nothing if `bytes` are not a valid datagram or if an amount is
+// negative, infinite or not a number: a corrupted number must not add units to
+// an account or use them up.
 std::optional<LimitsDatagram> DecodeLimits(std::string_view bytes);
 
 }  // namespace bulrushmount
--- a/source/core/limits/rendezvous.h
+++ b/source/core/limits/rendezvous.h
@@ -1,6 +1,7 @@
-// Rendezvous hashing: which member is the home of a key. All nodes with the
-// same members agree without a message, and a member that leaves moves only
-// the keys that it was home of.
+// Rendezvous hashing: maps a key to the member that is its home, the node
+// responsible for the key. Nodes with the same member list compute the same
+// home without exchanging messages. When a member leaves, only the keys that it
+// was the home of move to other members.
 
 #ifndef BULRUSHMOUNT_CORE_LIMITS_RENDEZVOUS_H_
 #define BULRUSHMOUNT_CORE_LIMITS_RENDEZVOUS_H_
@@ -13,26 +14,27 @@
 
 namespace bulrushmount {
 
-// A live member, as the limits and the quarantine need to know it.
+// A live member, reduced to what the limits and the quarantine use.
 struct Peer {
   NodeId id;
-  // Where its datagrams go.
+  // Destination of datagrams to this member.
   Endpoint gossip;
 
   friend bool operator==(const Peer&, const Peer&) = default;
 };
 
-// xxHash of the workspace's name; stands for it in datagrams.
+// xxHash (XXH3, 64 bits) of the workspace name; identifies the workspace in
+// datagrams.
 using WorkspaceKey = StrongType<struct WorkspaceKeyTag, std::uint64_t>;
 
 WorkspaceKey KeyOf(const WorkspaceName& workspace);
 
-// The home of `key`; null only if there are no members. Linear in `members`,
-// so callers keep the answer until the members change.
+// Returns the home of `key`, or null if `members` is empty. Takes time linear
+// in `members`, so callers cache the result until the members change.
 const Peer* RendezvousHome(const std::vector<Peer>& members, std::uint64_t key);
 
-// Whether a node of `before` is missing in `after`. Only then can a key move
-// to a node that was a member already.
+// Returns whether a node of `before` is missing from `after`. Only then can a
+// key move to a node that is a member in both.
 bool HasDeparture(const std::vector<Peer>& before,
                   const std::vector<Peer>& after);
 
--- a/source/core/limits/token_bucket.cc
+++ b/source/core/limits/token_bucket.cc
@@ -17,7 +17,7 @@
   return true;
 }
 
-void TokenBucket::Reshape(TimePoint now, double rate, double burst) {
+void TokenBucket::Reconfigure(TimePoint now, double rate, double burst) {
   Refill(now);
   m_rate = rate;
   m_burst = burst;
--- a/source/core/limits/token_bucket.h
+++ b/source/core/limits/token_bucket.h
@@ -1,4 +1,5 @@
-// A token bucket in weighted units.
+// A token bucket whose tokens are weighted units: a call may cost more or less
+// than one unit.
 
 #ifndef BULRUSHMOUNT_CORE_LIMITS_TOKEN_BUCKET_H_
 #define BULRUSHMOUNT_CORE_LIMITS_TOKEN_BUCKET_H_
@@ -9,18 +10,20 @@
 
 class TokenBucket {
  public:
-  // Starts full. `rate` in units a second; neither may be negative.
+  // Starts full. `rate` is in units per second; `rate` and `burst` must not be
+  // negative.
   TokenBucket(TimePoint now, double rate, double burst);
 
-  // Takes `units` if they are there, or if the bucket is full and `units` are
-  // more than it ever holds: a heavy request must not be refused for ever. The
-  // level then falls below zero and is earned back.
+  // Takes `units` if the bucket holds them. A request for more units than the
+  // burst is admitted when the bucket is full, because it could otherwise never
+  // be admitted. The level then falls below zero and the refill pays off the
+  // debt.
   bool TryTake(TimePoint now, double units);
 
-  // Keeps the level, cut to the new burst.
-  void Reshape(TimePoint now, double rate, double burst);
+  // Sets a new rate and burst. Keeps the level, capped at the new burst.
+  void Reconfigure(TimePoint now, double rate, double burst);
 
-  // Takes what is there, up to `units`, and says how much that was.
+  // Takes as many of `units` as the bucket holds and returns the amount taken.
   double TakeUpTo(TimePoint now, double units);
 
   void Fill();
@@ -32,7 +35,7 @@
 
   double m_rate;
   double m_burst;
-  // At most m_burst.
+  // At most m_burst; negative while in debt.
   double m_level;
   TimePoint m_refilled_at;
 };
--- a/source/core/limits/workspace_limiter.cc
+++ b/source/core/limits/workspace_limiter.cc
@@ -11,7 +11,8 @@
 
 namespace {
 
-// While no workspace is active, only accounts lent to others need a look.
+// While no workspace is active here, the timer only maintains the accounts lent
+// to other entries.
 constexpr Duration kIdlePeriod = std::chrono::seconds(5);
 
 bool Contains(const std::vector<Peer>& members, NodeId id) {
@@ -70,7 +71,7 @@
     m_by_key[key] = entry.get();
   }
   entry->is_removed = false;
-  entry->account.Reshape(now, limits, m_members.size());
+  entry->account.Reconfigure(now, limits, m_members.size());
 }
 
 void WorkspaceLimiter::RemoveWorkspace(TimePoint now,
@@ -99,13 +100,13 @@
   for (const auto& [workspace, entry] : m_entries) {
     const auto limits = m_home.LimitsOf(entry->account.key());
     if (limits)
-      entry->account.Reshape(now, *limits, m_members.size());
+      entry->account.Reconfigure(now, *limits, m_members.size());
   }
   for (Entry* entry : m_active) {
     const WorkspaceKey key = entry->account.key();
     entry->account.SetHome(now, *RendezvousHome(m_members, key.value()));
   }
-  Arm(now);
+  ScheduleWakeup(now);
 }
 
 void WorkspaceLimiter::OnDatagram(TimePoint now,
@@ -119,11 +120,12 @@
     if (found != m_by_key.end())
       found->second->account.Apply(now, allotment);
   }
-  // No sender: it is asked about in requests only.
+  // The sender is left out: only requests need it.
   LimitsDatagram answer;
   for (const AllotmentRequest& request : datagram->requests) {
-    // An entry with other members than ours asks the wrong node; it goes on
-    // with its allowance until the members agree.
+    // An entry with a different member list sends the request to the wrong
+    // node. It gets no answer and uses its allowance until the member lists
+    // agree.
     if (!IsHome(request.workspace))
       continue;
     const auto allotment = m_home.OnRequest(now, datagram->sender, request);
@@ -132,7 +134,7 @@
   }
   for (std::string& payload : EncodeLimits(answer))
     m_datagrams.Send(from, DatagramKind::kLimits, std::move(payload));
-  Arm(now);
+  ScheduleWakeup(now);
 }
 
 void WorkspaceLimiter::OnTimer(TimePoint now) {
@@ -149,10 +151,10 @@
     if (entry->account.IsDue(now, interval, starved_interval))
       due.push_back(&entry->account);
   }
-  Ask(now, due);
+  SendRequests(now, due);
   m_home.OnTimer(now);
   m_next_wakeup = TimePoint::max();
-  Arm(now);
+  ScheduleWakeup(now);
 }
 
 void WorkspaceLimiter::Activate(TimePoint now, Entry& entry) {
@@ -160,8 +162,8 @@
   entry.account.SetHome(now, *RendezvousHome(m_members, key.value()));
   entry.is_active = true;
   m_active.push_back(&entry);
-  Ask(now, {&entry.account});
-  Arm(now);
+  SendRequests(now, {&entry.account});
+  ScheduleWakeup(now);
 }
 
 void WorkspaceLimiter::DropInactive(TimePoint now) {
@@ -187,7 +189,8 @@
                     MaxInterval(m_settings, m_members.size()));
 }
 
-void WorkspaceLimiter::Ask(TimePoint now, const std::vector<Account*>& due) {
+void WorkspaceLimiter::SendRequests(TimePoint now,
+                                    const std::vector<Account*>& due) {
   std::map<Endpoint, LimitsDatagram> by_home;
   for (Account* account : due) {
     const AllotmentRequest request = account->MakeRequest(
@@ -222,7 +225,7 @@
   }
 }
 
-void WorkspaceLimiter::Arm(TimePoint now) {
+void WorkspaceLimiter::ScheduleWakeup(TimePoint now) {
   if (!m_active.empty())
     m_next_wakeup = std::min(m_next_wakeup, now + m_settings.min_interval / 2);
   else if (m_home.AccountCount() > 0)
--- a/source/core/limits/workspace_limiter.h
+++ b/source/core/limits/workspace_limiter.h
@@ -1,5 +1,7 @@
-// The limits of workspaces over all entries together, as one node takes part in
-// them: as an entry, and as the limiter home of some workspaces.
+// Enforces the limits of workspaces over all entries of the fleet together. One
+// object does the part of one node: it admits calls as an entry, with credit
+// borrowed from the limiter home of each workspace, and lends credit for the
+// workspaces whose home this node is. A call never waits for a message.
 
 #ifndef BULRUSHMOUNT_CORE_LIMITS_WORKSPACE_LIMITER_H_
 #define BULRUSHMOUNT_CORE_LIMITS_WORKSPACE_LIMITER_H_
@@ -35,24 +37,26 @@
   WorkspaceLimiter(const WorkspaceLimiter&) = delete;
   WorkspaceLimiter& operator=(const WorkspaceLimiter&) = delete;
 
-  // kNone: admitted, and the caller owes one OnCallEnded. Else
-  // kWorkspaceRateLimit, kWorkspaceInFlightLimit, or kUnknownWorkspace without
-  // limits. Decides at once, also at a workspace's first call.
+  // Returns kNone if the call is admitted; the caller must then call
+  // OnCallEnded once. Otherwise returns kWorkspaceRateLimit,
+  // kWorkspaceInFlightLimit, or kUnknownWorkspace if no limits are set. Decides
+  // immediately, also for the first call of a workspace.
   Reason TryAdmit(TimePoint now, const WorkspaceName& workspace, double units);
   void OnCallEnded(TimePoint now, const WorkspaceName& workspace);
 
-  // The contract in force; also when it changes.
+  // Sets the limits of the contract in force, initially and whenever it
+  // changes.
   void SetLimits(TimePoint now,
                  const WorkspaceName& workspace,
                  const WorkspaceLimits& limits);
-  // Calls in flight go on and still owe their OnCallEnded.
+  // Calls in flight continue and still need their OnCallEnded.
   void RemoveWorkspace(TimePoint now, const WorkspaceName& workspace);
 
   // All live members; this node is added if it is missing.
   void SetMembers(TimePoint now, std::vector<Peer> members);
 
-  // A datagram of DatagramKind::kLimits, without its kind's byte. What cannot
-  // be parsed is dropped.
+  // Handles a datagram of DatagramKind::kLimits, without the kind byte. Drops
+  // it if it cannot be parsed.
   void OnDatagram(TimePoint now, const Endpoint& from, std::string_view bytes);
 
   void OnTimer(TimePoint now);
@@ -67,9 +71,10 @@
     explicit Entry(Account account) : account(std::move(account)) {}
 
     Account account;
-    // Whether it is in m_active.
+    // Whether the entry is in m_active.
     bool is_active = false;
-    // The workspace has no contract any more; kept for its calls in flight.
+    // The workspace has no contract any more; the entry is kept for its calls
+    // in flight.
     bool is_removed = false;
   };
 
@@ -77,10 +82,11 @@
   void DropInactive(TimePoint now);
   Duration Interval() const;
   Duration StarvedInterval() const;
-  // Sends one datagram, or few, to each home.
-  void Ask(TimePoint now, const std::vector<Account*>& due);
+  // Sends the requests of the accounts in `due`, packed into as few datagrams
+  // as possible for each home.
+  void SendRequests(TimePoint now, const std::vector<Account*>& due);
   void Release(TimePoint now, Account& account);
-  void Arm(TimePoint now);
+  void ScheduleWakeup(TimePoint now);
   bool IsHome(WorkspaceKey workspace) const;
 
   LimitsSettings m_settings;
@@ -90,11 +96,11 @@
   std::vector<Peer> m_members;
   std::unordered_map<WorkspaceName, std::unique_ptr<Entry>> m_entries;
   std::unordered_map<WorkspaceKey, Entry*> m_by_key;
-  // Workspaces with recent calls, or calls in flight; only they cost messages.
+  // Workspaces with recent calls or calls in flight; only these cause messages.
   std::vector<Entry*> m_active;
-  // Of m_active, at the last timer: those that lack credit.
+  // Number of workspaces in m_active that lacked credit at the last timer.
   std::size_t m_starved = 0;
-  // Sessions and requests of all workspaces are numbered together, from 1.
+  // Sessions and requests are numbered over all workspaces, from 1.
   std::uint64_t m_next_session = 1;
   std::uint64_t m_next_number = 1;
   TimePoint m_next_wakeup = TimePoint::max();
--- a/source/unit_tests/core/limits/datagram_network.h
+++ b/source/unit_tests/core/limits/datagram_network.h
@@ -1,5 +1,5 @@
-// A queue in place of the network between decision modules: it loses, repeats,
-// delays and so reorders datagrams, and cuts and freezes nodes.
+// A simulated network between decision modules. It loses, repeats, delays and
+// reorders datagrams, and partitions and freezes nodes.
 
 #ifndef BULRUSHMOUNT_UNIT_TESTS_CORE_LIMITS_DATAGRAM_NETWORK_H_
 #define BULRUSHMOUNT_UNIT_TESTS_CORE_LIMITS_DATAGRAM_NETWORK_H_
@@ -32,7 +32,7 @@
   std::string payload;
 };
 
-// Node `index` has the gossip endpoint with port kFirstPort + index.
+// The gossip endpoint of node `index` has port kFirstPort + index.
 class DatagramNetwork {
  public:
   static constexpr std::uint16_t kFirstPort = 1000;
@@ -54,14 +54,15 @@
   DatagramPort& PortOf(std::size_t index) { return *m_ports[index]; }
   void SetFaults(const NetworkFaults& faults) { m_faults = faults; }
   void SetNow(TimePoint now) { m_now = now; }
-  // Nodes of different sides do not hear each other.
+  // Datagrams between nodes of different sides are lost.
   void SetSide(std::size_t index, int side) { m_sides[index] = side; }
   int SideOf(std::size_t index) const { return m_sides[index]; }
-  // What comes for a frozen node waits in its socket.
+  // Datagrams to a frozen node wait in its socket.
   void SetFrozen(std::size_t index, bool frozen) { m_frozen[index] = frozen; }
   bool IsFrozen(std::size_t index) const { return m_frozen[index]; }
 
-  // What has arrived by now, in the order of arrival.
+  // Removes and returns the datagrams that have arrived by now, in order of
+  // arrival.
   std::vector<QueuedDatagram> TakeArrived() {
     std::vector<QueuedDatagram> arrived;
     for (auto item = m_queue.begin();
@@ -79,7 +80,7 @@
   std::uint64_t sent() const { return m_sent; }
   std::uint64_t sent_bytes() const { return m_sent_bytes; }
   std::size_t largest() const { return m_largest; }
-  // With the headers of IP and UDP, and the kind's byte.
+  // Includes the IP and UDP headers and the kind byte.
   std::uint64_t WireBytes() const { return m_sent_bytes + m_sent * kHeaders; }
   std::uint64_t MostWireBytesOfANode() const {
     return *std::max_element(m_sent_by.begin(), m_sent_by.end());
--- a/source/unit_tests/core/limits/limiter_fleet.h
+++ b/source/unit_tests/core/limits/limiter_fleet.h
@@ -1,5 +1,5 @@
-// Several WorkspaceLimiters joined by a DatagramNetwork, in virtual time, and
-// the naive limiter that they are compared with.
+// Several WorkspaceLimiters connected by a DatagramNetwork in virtual time, and
+// the reference limiter that they are compared with.
 
 #ifndef BULRUSHMOUNT_UNIT_TESTS_CORE_LIMITS_LIMITER_FLEET_H_
 #define BULRUSHMOUNT_UNIT_TESTS_CORE_LIMITS_LIMITER_FLEET_H_
@@ -15,11 +15,11 @@
 
 namespace bulrushmount {
 
-// One process, one number, no time-outs: how far what was admitted has run
-// ahead of the rate. A perfect global token bucket keeps it within the burst.
-class NaiveMeter {
+// A single-process reference: measures how far the admitted units exceed the
+// rate. An exact global token bucket keeps this excess within the burst.
+class ReferenceMeter {
  public:
-  explicit NaiveMeter(double rate) : m_rate(rate) {}
+  explicit ReferenceMeter(double rate) : m_rate(rate) {}
 
   void OnAdmitted(TimePoint now, double units) {
     m_excess = std::max(0.0, m_excess - m_rate * ToSeconds(now - m_at)) + units;
@@ -27,9 +27,9 @@
     m_worst = std::max(m_worst, m_excess);
   }
 
-  // The most units by which any window exceeded rate x window.
+  // The largest number of units by which any window exceeded rate x window.
   double worst() const { return m_worst; }
-  void ForgetWorst() { m_worst = 0; }
+  void ResetWorst() { m_worst = 0; }
 
  private:
   double m_rate;
@@ -45,10 +45,10 @@
   LimiterFleet(std::size_t nodes, std::uint64_t seed)
       : m_network(nodes, seed),
         m_alive(nodes, true),
-        m_boots(nodes, 0),
+        m_restarts(nodes, 0),
         m_nodes(nodes) {
     for (std::size_t index = 0; index < nodes; ++index)
-      Boot(index);
+      StartNode(index);
     ShowMembers();
   }
 
@@ -77,27 +77,27 @@
   }
 
   Peer PeerOf(std::size_t index) const {
-    return {NodeId((m_boots[index] << 16U) + index + 1),
+    return {NodeId((m_restarts[index] << 16U) + index + 1),
             DatagramNetwork::EndpointOf(index)};
   }
 
-  // Whom `workspace` is lent by, as the nodes of `side` see it.
+  // Index of the home of `workspace`, as computed by the nodes of `side`.
   std::size_t HomeOf(const WorkspaceName& workspace, int side = 0) const {
     const std::vector<Peer> members = MembersOf(side);
     const Peer* home = RendezvousHome(members, KeyOf(workspace).value());
     return home->gossip.port - DatagramNetwork::kFirstPort;
   }
 
-  // The others learn of it at the next ShowMembers.
+  // The other nodes learn of it at the next UpdateMembers.
   void Kill(std::size_t index) { m_alive[index] = false; }
   void Restart(std::size_t index) {
     m_alive[index] = true;
-    ++m_boots[index];
-    Boot(index);
+    ++m_restarts[index];
+    StartNode(index);
   }
 
-  // Every running node learns which nodes of its side live; frozen nodes are
-  // taken for dead if `are_frozen_dead`.
+  // Updates the member list of every running node to the live nodes of its
+  // side. With `are_frozen_dead`, frozen nodes count as dead.
   void ShowMembers(bool are_frozen_dead = false) {
     for (std::size_t index = 0; index < size(); ++index) {
       if (IsRunning(index))
@@ -121,7 +121,7 @@
     return members;
   }
 
-  void Boot(std::size_t index) {
+  void StartNode(std::size_t index) {
     m_nodes[index] = std::make_unique<WorkspaceLimiter>(
         LimitsSettings(), PeerOf(index), m_network.PortOf(index), m_now);
     for (const auto& [workspace, limits] : m_workspaces)
@@ -144,7 +144,7 @@
   TimePoint m_now = TimePoint(std::chrono::hours(1));
   DatagramNetwork m_network;
   std::vector<bool> m_alive;
-  std::vector<std::uint64_t> m_boots;
+  std::vector<std::uint64_t> m_restarts;
   std::vector<std::unique_ptr<WorkspaceLimiter>> m_nodes;
   std::vector<std::pair<WorkspaceName, WorkspaceLimits>> m_workspaces;
 };
--- a/source/unit_tests/core/limits/limiter_fleet_property_test.cc
+++ b/source/unit_tests/core/limits/limiter_fleet_property_test.cc
@@ -1,5 +1,6 @@
 // Differential test of the workspace limits: whatever datagrams and nodes are
-// lost, the fleet admits at most the stated bound more than the naive limiter.
+// lost, the fleet exceeds the reference limiter by at most the documented
+// bound.
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -18,7 +19,7 @@
 struct Period {
   Fault fault = Fault::kNone;
   std::size_t node = 0;
-  // Calls a second at each entry.
+  // Calls per second at each entry.
   std::vector<double> rates;
   std::int64_t milliseconds = 0;
 };
@@ -44,11 +45,11 @@
                    rc::gen::inRange<std::int64_t>(100, 6000)));
 }
 
-// The members learn of a death or a freeze after about two seconds, each node
-// at its own time.
-void LearnSlowly(LimiterFleet& fleet,
-                 LimiterLoad& load,
-                 const std::vector<double>& rates) {
+// Nodes detect a death or a freeze after about two seconds, each at a different
+// time.
+void PropagateMembersSlowly(LimiterFleet& fleet,
+                            LimiterLoad& load,
+                            const std::vector<double>& rates) {
   load.Run(std::chrono::seconds(2), rates);
   for (std::size_t index = 0; index < kNodes; ++index) {
     if (fleet.IsRunning(index))
@@ -66,35 +67,36 @@
   const Duration duration = std::chrono::milliseconds(period.milliseconds);
   if (period.fault == Fault::kKill) {
     fleet.Kill(period.node);
-    LearnSlowly(fleet, load, period.rates);
+    PropagateMembersSlowly(fleet, load, period.rates);
     load.Run(duration, period.rates);
     fleet.Restart(period.node);
-    LearnSlowly(fleet, load, period.rates);
+    PropagateMembersSlowly(fleet, load, period.rates);
   } else if (period.fault == Fault::kFreeze) {
     fleet.network().SetFrozen(period.node, true);
-    LearnSlowly(fleet, load, period.rates);
+    PropagateMembersSlowly(fleet, load, period.rates);
     load.Run(duration, period.rates);
     fleet.network().SetFrozen(period.node, false);
-    LearnSlowly(fleet, load, period.rates);
+    PropagateMembersSlowly(fleet, load, period.rates);
   } else {
     load.Run(duration, period.rates);
   }
 }
 
-// The bound of docs/design/limits.md for one fleet without partition.
+// The bound of docs/design/limits.md for one fleet without a partition.
 double UnitsBound(const WorkspaceLimits& limits) {
   const LimitsSettings settings;
   const double lent = LendingCapacity(settings, limits);
   const double saved =
-      limits.units_per_second * ToSeconds(settings.rate_saving) + 2 * kNodes;
+      limits.units_per_second * ToSeconds(settings.rate_burst_window) +
+      2 * kNodes;
   const double allowed = kNodes * AllowedUnits(settings, limits, kNodes);
   return 2 * lent + saved + 2 * allowed;
 }
 
-// Symptom: a workspace gets more than its contract allows.
-// Sequence: any order of deaths, restarts, freezes beyond detection, lost,
-// repeated and overtaken datagrams, and shifts of demand between entries.
-// Cause: units or rates that are lent twice, or used beyond their term.
+// Guards against a workspace that gets more than its contract allows because
+// units or rates are lent twice, or used beyond their term, under any order of
+// deaths, restarts, freezes beyond detection, lost, repeated and reordered
+// datagrams, and shifts of demand between entries.
 RC_GTEST_PROP(LimiterFleetTest, AdmitsAtMostTheStatedBound, ()) {
   const auto limits = *rc::gen::element(
       WorkspaceLimits{100, 50, 40}, WorkspaceLimits{20, 100, 10},
@@ -115,9 +117,9 @@
   RC_ASSERT(fleet.network().largest() <= kMaxDatagramPayload);
 }
 
-// Symptom: after faults are over a workspace stays below its limit for ever.
-// Sequence: the same faults, then twenty quiet seconds.
-// Cause: a loan that is never counted down, or a debt that is never paid back.
+// Guards against a workspace that stays below its limit forever after faults,
+// because a loan is never removed from the sums or a debt is never paid off.
+// Twenty fault-free seconds must be enough to recover.
 RC_GTEST_PROP(LimiterFleetTest, ReturnsToTheFullRateAfterFaults, ()) {
   const WorkspaceLimits limits{100, 50, 100};
   const auto seed = *rc::gen::arbitrary<std::uint64_t>();
--- a/source/unit_tests/core/limits/limiter_home_test.cc
+++ b/source/unit_tests/core/limits/limiter_home_test.cc
@@ -42,14 +42,13 @@
   LimiterHome m_home;
 };
 
-// Symptom: twice the burst goes out when a home dies.
-// Sequence: the old home has lent its burst; the new one is asked at once.
-// Cause: a new account that starts full, beside loans in use.
+// Guards against lending the burst twice when a home dies: the old home has
+// lent its burst, and a new home whose account starts full lends it again.
 TEST_F(LimiterHomeTest, AHomeThatIsNewToAWorkspaceStartsEmpty) {
   m_home.OnMembersChanged(kStart + 100s, kMembers, true,
                           [](WorkspaceKey) { return true; });
   EXPECT_EQ(Ask(100s, 1, Request(1, 10)).granted_units, 0);
-  // A fifth of the rate, which no home lends as a rate.
+  // One second of the fifth of the rate that no home lends as a rate.
   EXPECT_NEAR(Ask(101s, 2, Request(1, 10)).granted_units, 20, 0.01);
 }
 
@@ -57,9 +56,9 @@
   EXPECT_EQ(Ask(100s, 1, Request(1, 10)).granted_units, 50);
 }
 
-// Symptom: more than the rate, and more calls in flight, after a home's death.
-// Sequence: entries still use what the old home lent; the new one lends anew.
-// Cause: no time for the entries to say what they hold.
+// Guards against exceeding the rate and the in-flight limit after the death of
+// a home: a new home that lends before the entries have reported what they hold
+// lends the same credit twice.
 TEST_F(LimiterHomeTest, InTheGraceEntriesKeepWhatTheyHoldAndGetNoMore) {
   AllotmentRequest request = Request(1, 1000);
   request.rate_held = 30;
@@ -73,20 +72,18 @@
   EXPECT_GT(Ask(6s, 1, Request(2, 1000)).rate, 30);
 }
 
-// Symptom: entries together admit more than the rate for as long as a datagram
-// is lost.
-// Sequence: the home lowers one entry's rate; the answer is lost; the home
-// lends the difference to another.
-// Cause: a smaller loan that counts before the entry has taken it.
+// Guards against exceeding the rate after a lost datagram: the home lowers the
+// rate of one entry, the answer is lost, and the home lends the difference to
+// another entry although the first has not applied the lower rate.
 TEST_F(LimiterHomeTest, ALoweredLoanCountsInFullUntilItIsApplied) {
-  // A demand that leaves no ample headroom.
+  // A demand too high for the low-use headroom.
   constexpr double demand = 35;
   constexpr double rate = 42;
   EXPECT_EQ(Ask(100s, 1, Request(1, 1000)).rate, 80);
   AllotmentRequest lower = Request(2, demand);
   lower.applied = RequestNumber(1);
   EXPECT_EQ(Ask(101s, 1, lower).rate, rate);
-  // That answer was lost: the entry says again that it goes by the first.
+  // That answer was lost: the entry reports again that it uses the first one.
   lower.number = RequestNumber(3);
   Ask(102s, 1, lower);
   EXPECT_EQ(Ask(102s, 2, Request(1, 1000)).rate, 0);
@@ -96,34 +93,33 @@
   EXPECT_NEAR(Ask(104s, 2, Request(2, 1000)).rate, 80 - rate, 1e-9);
 }
 
-// Symptom: a thousand entries need a minute to share out a rate.
-// Sequence: an entry's rate is lowered; it says only at its next request, after
-// the longest interval, that it goes by that.
-// Cause: no sign that the home waits for it.
+// Guards against a fleet of a thousand entries taking a minute to distribute a
+// rate: an entry that is not asked to confirm a lowered rate confirms it only
+// at its next request, after the longest interval.
 TEST_F(LimiterHomeTest, AsksForAConfirmationOfALoweredRate) {
-  EXPECT_EQ(Ask(100s, 1, Request(1, 1000)).pace, AskPace::kNormal);
+  EXPECT_EQ(Ask(100s, 1, Request(1, 1000)).pace, RequestPace::kNormal);
   EXPECT_EQ(Ask(101s, 2, Request(1, 1000)).rate, 0);
   AllotmentRequest again = Request(2, 1000);
   again.applied = RequestNumber(1);
   const Allotment lowered = Ask(102s, 1, again);
   EXPECT_EQ(lowered.rate, 40);
-  EXPECT_EQ(lowered.pace, AskPace::kConfirm);
+  EXPECT_EQ(lowered.pace, RequestPace::kConfirm);
   again.number = RequestNumber(3);
   again.applied = RequestNumber(2);
-  EXPECT_EQ(Ask(103s, 1, again).pace, AskPace::kNormal);
+  EXPECT_EQ(Ask(103s, 1, again).pace, RequestPace::kNormal);
 }
 
-// Symptom: the first of many entries get the whole rate, the others none.
-// Sequence: all have asked once, without a demand, and ask again in turn.
-// Cause: a share by the demand that is known so far.
-TEST_F(LimiterHomeTest, WhileItBeginsCountsUnknownDemandsLikeTheKnown) {
+// Guards against lending the whole rate to the first of many entries: all have
+// sent a request without a demand and send the next one in turn, and shares by
+// the demand known so far ignore the later ones.
+TEST_F(LimiterHomeTest, WhileRampingUpCountsUnknownDemandsLikeKnownOnes) {
   for (std::uint64_t entry = 1; entry <= 8; ++entry)
     Ask(100s, entry, Request(1, 0));
   for (std::uint64_t entry = 1; entry <= 8; ++entry)
     EXPECT_NEAR(Ask(100s, entry, Request(2, 1000)).rate, 10, 1e-9);
 }
 
-TEST_F(LimiterHomeTest, LaterCountsNoUnknownDemands) {
+TEST_F(LimiterHomeTest, AfterRampUpCountsNoUnknownDemands) {
   for (std::uint64_t entry = 1; entry <= 8; ++entry)
     Ask(100s, entry, Request(1, 0));
   EXPECT_EQ(Ask(101s, 1, Request(2, 1000)).rate, 80);
@@ -134,13 +130,13 @@
   double demand;
   std::uint32_t in_flight_target;
   double rate;
-  AskPace pace;
+  RequestPace pace;
 };
 
 class LimiterHomePaceTest : public LimiterHomeTest,
                             public testing::WithParamInterface<PaceCase> {};
 
-TEST_P(LimiterHomePaceTest, IsAmpleOnlyFarBelowAllLimits) {
+TEST_P(LimiterHomePaceTest, IsRelaxedOnlyFarBelowAllLimits) {
   Ask(98s, 1, Request(1, 0));
   AllotmentRequest request = Request(2, GetParam().demand);
   request.target_units = 2;
@@ -153,10 +149,10 @@
 INSTANTIATE_TEST_SUITE_P(
     Demands,
     LimiterHomePaceTest,
-    testing::Values(PaceCase{"little", 10, 2, 20, AskPace::kAmple},
-                    PaceCase{"unknown", 0, 2, 0, AskPace::kNormal},
-                    PaceCase{"half", 40, 2, 48, AskPace::kNormal},
-                    PaceCase{"calls", 10, 30, 20, AskPace::kNormal}),
+    testing::Values(PaceCase{"little", 10, 2, 20, RequestPace::kRelaxed},
+                    PaceCase{"unknown", 0, 2, 0, RequestPace::kNormal},
+                    PaceCase{"half", 40, 2, 48, RequestPace::kNormal},
+                    PaceCase{"calls", 10, 30, 20, RequestPace::kNormal}),
     [](const auto& info) { return std::string(info.param.name); });
 
 TEST_F(LimiterHomeTest, RepeatedAndOvertakenRequestsGetNothing) {
--- a/source/unit_tests/core/limits/limiter_load.h
+++ b/source/unit_tests/core/limits/limiter_load.h
@@ -1,4 +1,4 @@
-// Callers of one workspace at the entries of a LimiterFleet.
+// Simulated callers of one workspace at the entries of a LimiterFleet.
 
 #ifndef BULRUSHMOUNT_UNIT_TESTS_CORE_LIMITS_LIMITER_LOAD_H_
 #define BULRUSHMOUNT_UNIT_TESTS_CORE_LIMITS_LIMITER_LOAD_H_
@@ -27,16 +27,16 @@
         m_service_time(service_time),
         m_meter(limits.units_per_second),
         m_due(fleet.size(), 0),
-        m_boot_of(fleet.size()),
+        m_process_of(fleet.size()),
         m_admitted(fleet.size(), 0),
         m_refused(fleet.size(), 0),
         m_in_flight(fleet.size(), 0) {}
 
-  // One call now.
+  // Makes one call now at entry `index`.
   Reason Call(std::size_t index) {
     if (!m_fleet.IsRunning(index))
       return Reason::kNodeUnreachable;
-    Forget(index);
+    DropCallsOfEarlierProcess(index);
     const TimePoint now = m_fleet.now();
     const Reason reason =
         m_fleet.node(index).TryAdmit(now, m_workspace, m_units);
@@ -53,7 +53,7 @@
     return reason;
   }
 
-  // `rates[i]` calls a second at entry i, evenly spread.
+  // Makes `rates[i]` calls per second at entry i, evenly spaced.
   void Run(Duration duration, const std::vector<double>& rates) {
     const TimePoint end = m_fleet.now() + duration;
     while (m_fleet.now() < end) {
@@ -77,10 +77,10 @@
   void Reset() {
     std::fill(m_admitted.begin(), m_admitted.end(), 0);
     std::fill(m_refused.begin(), m_refused.end(), 0);
-    m_meter.ForgetWorst();
+    m_meter.ResetWorst();
     m_worst_in_flight = 0;
   }
-  const NaiveMeter& meter() const { return m_meter; }
+  const ReferenceMeter& meter() const { return m_meter; }
   std::size_t worst_in_flight() const { return m_worst_in_flight; }
 
  private:
@@ -89,19 +89,19 @@
                            std::size_t{0});
   }
 
-  // A restarted node has none of the calls of the process before it.
-  void Forget(std::size_t index) {
+  // A restarted node has none of the calls of its earlier process.
+  void DropCallsOfEarlierProcess(std::size_t index) {
     const NodeId id = m_fleet.PeerOf(index).id;
-    if (m_boot_of[index] != id)
+    if (m_process_of[index] != id)
       m_in_flight[index] = 0;
-    m_boot_of[index] = id;
+    m_process_of[index] = id;
   }
 
   void EndCalls() {
     while (!m_running.empty() && m_running.begin()->first <= m_fleet.now()) {
       const auto [index, id] = m_running.begin()->second;
       m_running.erase(m_running.begin());
-      if (m_fleet.PeerOf(index).id != id || m_boot_of[index] != id)
+      if (m_fleet.PeerOf(index).id != id || m_process_of[index] != id)
         continue;
       --m_in_flight[index];
       m_fleet.node(index).OnCallEnded(m_fleet.now(), m_workspace);
@@ -112,9 +112,9 @@
   WorkspaceName m_workspace;
   double m_units;
   Duration m_service_time;
-  NaiveMeter m_meter;
+  ReferenceMeter m_meter;
   std::vector<double> m_due;
-  std::vector<NodeId> m_boot_of;
+  std::vector<NodeId> m_process_of;
   std::vector<double> m_admitted;
   std::vector<double> m_refused;
   std::vector<std::size_t> m_in_flight;
--- a/source/unit_tests/core/limits/limits_codec_test.cc
+++ b/source/unit_tests/core/limits/limits_codec_test.cc
@@ -12,8 +12,8 @@
 namespace bulrushmount {
 namespace {
 
-constexpr std::uint32_t kMost = std::numeric_limits<std::uint32_t>::max();
-constexpr std::uint64_t kCount = 100;
+constexpr std::uint32_t kMaxUint32 = std::numeric_limits<std::uint32_t>::max();
+constexpr std::uint64_t kMessages = 100;
 constexpr std::uint64_t kKeys = 11000;
 
 AllotmentRequest LargestRequest(std::uint64_t number) {
@@ -24,9 +24,9 @@
   request.used_units = 1.25;
   request.target_units = 2.5;
   request.demand = 0.5;
-  request.in_flight = kMost;
-  request.in_flight_target = kMost;
-  request.in_flight_held = kMost;
+  request.in_flight = kMaxUint32;
+  request.in_flight_target = kMaxUint32;
+  request.in_flight_held = kMaxUint32;
   request.rate_held = 8;
   request.applied = RequestNumber(~std::uint64_t{0});
   request.is_release = true;
@@ -37,13 +37,13 @@
   LimitsDatagram datagram;
   datagram.sender = NodeId(~std::uint64_t{0});
 
-  for (std::uint64_t number = 1; number <= kCount; ++number) {
+  for (std::uint64_t number = 1; number <= kMessages; ++number) {
     datagram.requests.push_back(LargestRequest(number));
     Allotment allotment;
     allotment.workspace = WorkspaceKey(number);
     allotment.rate = 0.25;
     allotment.term = std::chrono::seconds(62);
-    allotment.pace = AskPace::kConfirm;
+    allotment.pace = RequestPace::kConfirm;
     datagram.allotments.push_back(allotment);
   }
   std::uint64_t requests = 0;
@@ -62,14 +62,14 @@
       EXPECT_EQ(allotment.workspace, WorkspaceKey(++allotments));
       EXPECT_EQ(allotment.rate, 0.25);
       EXPECT_EQ(allotment.term, std::chrono::seconds(62));
-      EXPECT_EQ(allotment.pace, AskPace::kConfirm);
+      EXPECT_EQ(allotment.pace, RequestPace::kConfirm);
     }
   }
-  EXPECT_EQ(requests, kCount);
-  EXPECT_EQ(allotments, kCount);
+  EXPECT_EQ(requests, kMessages);
+  EXPECT_EQ(allotments, kMessages);
 }
 
-TEST(LimitsCodecTest, DropsAmountsThatMakeNoSense) {
+TEST(LimitsCodecTest, DropsInvalidAmounts) {
   for (const double amount : {-1.0, std::numeric_limits<double>::infinity(),
                               std::numeric_limits<double>::quiet_NaN()}) {
     LimitsDatagram datagram;
@@ -79,7 +79,9 @@
   }
 }
 
-RC_GTEST_PROP(LimitsCodecTest, BearsAnyBytes, (const std::string& bytes)) {
+RC_GTEST_PROP(LimitsCodecTest,
+              SurvivesArbitraryBytes,
+              (const std::string& bytes)) {
   DecodeLimits(bytes);
 }
 
--- a/source/unit_tests/core/limits/token_bucket_test.cc
+++ b/source/unit_tests/core/limits/token_bucket_test.cc
@@ -38,7 +38,7 @@
     Cases,
     TokenBucketTest,
     testing::Values(
-        // The burst, and then the rate.
+        // The burst first, then the rate.
         BucketCase{2,
                    3,
                    {{0, 3, true},
@@ -49,7 +49,7 @@
                     {10, 0.1, false}}},
         // Weighted units.
         BucketCase{1, 1, {{0, 0.25, true}, {0, 0.75, true}, {0, 0.1, false}}},
-        // A heavy request waits for a full bucket and leaves a debt.
+        // A request above the burst waits for a full bucket and leaves a debt.
         BucketCase{
             1,
             2,
@@ -59,7 +59,7 @@
 TEST(TokenBucketReshapeTest, CutsTheLevelToTheNewBurst) {
   const TimePoint start{std::chrono::hours(1)};
   TokenBucket bucket(start, 1, 10);
-  bucket.Reshape(start, 1, 2);
+  bucket.Reconfigure(start, 1, 2);
   EXPECT_EQ(bucket.Level(start), 2);
   EXPECT_EQ(bucket.TakeUpTo(start, 5), 2);
   EXPECT_EQ(bucket.TakeUpTo(start, 5), 0);
--- a/source/unit_tests/core/limits/workspace_limiter_test.cc
+++ b/source/unit_tests/core/limits/workspace_limiter_test.cc
@@ -1,4 +1,4 @@
-// Tests of `core/limits/workspace_limiter.h` over a few joined nodes.
+// Tests of `core/limits/workspace_limiter.h` with a few connected nodes.
 
 #include "core/limits/workspace_limiter.h"
 
@@ -22,12 +22,14 @@
   explicit WorkspaceLimiterTest(std::size_t nodes = 7)
       : m_fleet(nodes, kSeed), m_load(m_fleet, kWorkspace, kLimits) {
     m_fleet.SetLimits(kWorkspace, kLimits);
-    // Past the grace of a new home.
+    // Past the grace time of a new home.
     m_fleet.Advance(10s);
   }
 
   // An entry that is not the workspace's home.
-  std::size_t Away() const { return m_fleet.HomeOf(kWorkspace) == 0 ? 1 : 0; }
+  std::size_t EntryAwayFromHome() const {
+    return m_fleet.HomeOf(kWorkspace) == 0 ? 1 : 0;
+  }
 
   LimiterFleet m_fleet;
   LimiterLoad m_load;
@@ -42,20 +44,20 @@
 
 TEST_F(WorkspaceLimiterTest, AdmitsFirstCallsWithoutWaitingForTheHome) {
   for (int call = 0; call < 4; ++call)
-    EXPECT_EQ(m_load.Call(Away()), Reason::kNone);
+    EXPECT_EQ(m_load.Call(EntryAwayFromHome()), Reason::kNone);
 }
 
 TEST_F(WorkspaceLimiterTest, AdmitsRareCallsEachTime) {
   for (int call = 0; call < 20; ++call) {
-    EXPECT_EQ(m_load.Call(Away()), Reason::kNone);
+    EXPECT_EQ(m_load.Call(EntryAwayFromHome()), Reason::kNone);
     m_load.Run(call % 2 == 0 ? 9s : 3s, {});
   }
 }
 
-// Symptom: a workspace far below its limit is refused now and then.
-// Sequence: each of its rare calls is the first one at its entry again.
-// Cause: an allowance that earns its small part of the rate only, though the
-// home has booked each call.
+// Guards against refusing rare calls of a workspace far below its limit: each
+// call is the first one at its entry again, and an allowance that refills only
+// at its small part of the rate runs out although the home has deducted every
+// call.
 TEST_F(WorkspaceLimiterTest, TheAllowanceIsWholeAgainOnceTheHomeHasBookedIt) {
   const WorkspaceName workspace("rare");
   const WorkspaceLimits limits{0.5, 4, 10};
@@ -70,21 +72,22 @@
 }
 
 TEST_F(WorkspaceLimiterTest, LendsABurstToTheOneEntryThatSeesIt) {
-  m_load.Call(Away());
+  m_load.Call(EntryAwayFromHome());
   m_fleet.Advance(20ms);
   int admitted = 0;
   for (int call = 0; call < 100; ++call)
-    admitted += m_load.Call(Away()) == Reason::kNone ? 1 : 0;
-  // Half the burst, and half the calls in flight; one is running.
+    admitted += m_load.Call(EntryAwayFromHome()) == Reason::kNone ? 1 : 0;
+  // Half the burst and half the calls in flight are lent in advance; one call
+  // is running.
   EXPECT_GE(admitted, 19);
   EXPECT_LE(m_load.meter().worst(), kLimits.burst_units + 4);
 }
 
 struct ShareCase {
   std::string name;
-  // Calls a second offered at each entry.
+  // Calls per second made at each entry.
   std::vector<double> offered;
-  // Calls a second admitted at each, at least.
+  // Minimum of calls per second admitted at each entry.
   std::vector<double> expected;
 };
 
@@ -128,7 +131,8 @@
 
 TEST_F(WorkspaceLimiterTest, BoundsCallsInFlightOverAllEntries) {
   LimiterLoad slow(m_fleet, kWorkspace, kLimits, 0.1, 60s);
-  // Allowances at first, and never more than the limit once the home counts.
+  // The entries use allowances at first, but never exceed the limit once the
+  // home counts their calls.
   slow.Run(30s, {20, 20, 20, 20});
   EXPECT_GE(slow.worst_in_flight(), 36U);
   EXPECT_LE(slow.worst_in_flight(), kLimits.in_flight);
@@ -143,7 +147,7 @@
 TEST_F(WorkspaceLimiterTest, AHeavyCallIsAdmittedAndPaidBack) {
   LimiterLoad heavy(m_fleet, kWorkspace, kLimits, 70);
   heavy.Run(60s, {2, 2});
-  // 70 units each, at 100 units a second.
+  // 70 units per call, at 100 units per second.
   EXPECT_GE(heavy.admitted(), 40);
   EXPECT_LE(heavy.admitted(), 60 * 100 / 70 + 4);
 }
@@ -159,9 +163,9 @@
   EXPECT_GE(m_load.admitted(), 10 * 10 * 0.9);
 }
 
-// Symptom: an operator cuts a limit, and entries still let the old burst
-// through. Sequence: an entry has borrowed half a burst and uses it after the
-// change. Cause: credit that outlives the contract it was lent under.
+// Guards against entries that admit the old burst after an operator has cut a
+// limit: an entry has borrowed half a burst under the old contract and uses it
+// after the change.
 TEST_F(WorkspaceLimiterTest, CreditDoesNotOutliveItsContract) {
   const WorkspaceName workspace("cut");
   const WorkspaceLimits before{100, 100, 1000};
@@ -179,10 +183,9 @@
   EXPECT_LE(load.admitted(), 4 + 2 + 4);
 }
 
-// Symptom: a workspace that moved to another entry is refused half its calls.
-// Sequence: the first entry borrows half of what may be in flight and is idle
-// from then on.
-// Cause: a loan that stays with an idle entry until its term.
+// Guards against refusing half the calls of a workspace whose callers move to
+// another entry: the first entry has borrowed half of the in-flight limit and
+// keeps that loan until its term ends although it is idle.
 TEST_F(WorkspaceLimiterTest, AnIdleEntryGivesItsLoanBack) {
   m_load.Call(0);
   m_load.Call(1);
@@ -198,7 +201,7 @@
   const std::uint64_t before = m_fleet.network().sent();
   m_fleet.Advance(60s);
   EXPECT_EQ(m_fleet.network().sent(), before);
-  m_load.Call(Away());
+  m_load.Call(EntryAwayFromHome());
   m_load.Run(60s, {});
   EXPECT_GT(m_fleet.network().sent(), before);
   const std::uint64_t after = m_fleet.network().sent();
@@ -206,12 +209,12 @@
   EXPECT_EQ(m_fleet.network().sent(), after);
 }
 
-// Symptom: 18 datagrams a second a node for workspaces far below their limits.
-// Sequence: an entry's loan fits its demand; it asks again every 250 ms.
-// Cause: an interval by the number of workspaces alone.
+// Guards against 18 datagrams per second and node for workspaces far below
+// their limits: an interval that depends only on the number of workspaces makes
+// an entry with enough credit send a request every 250 ms.
 TEST_F(WorkspaceLimiterTest, AWorkspaceFarBelowItsLimitCostsFewMessages) {
   std::vector<double> rates(7, 0);
-  rates[Away()] = 2;
+  rates[EntryAwayFromHome()] = 2;
   m_load.Run(20s, rates);
   const std::uint64_t before = m_fleet.network().sent();
   m_load.Run(60s, rates);
@@ -219,23 +222,22 @@
   EXPECT_LE(m_fleet.network().sent() - before, 16U);
 }
 
-TEST_F(WorkspaceLimiterTest, ARiseInDemandEndsTheCalm) {
+TEST_F(WorkspaceLimiterTest, ARiseInDemandEndsTheRelaxedPace) {
   std::vector<double> rates(7, 0);
-  rates[Away()] = 2;
+  rates[EntryAwayFromHome()] = 2;
   m_load.Run(20s, rates);
   m_load.Reset();
-  rates[Away()] = 60;
+  rates[EntryAwayFromHome()] = 60;
   m_load.Run(5s, rates);
   EXPECT_GE(m_load.admitted(), 0.98 * 5 * 60);
 }
 
-// Symptom: after the home of a workspace dies the entries refuse its calls, or
-// admit two limits' worth.
-// Sequence: four entries use the whole limit; the home is killed; two seconds
-// later the members learn of it and a new home takes over.
-// Cause: without terms that outlast the change the entries stand empty-handed;
-// without a grace the new home lends a second time what is still in use.
-TEST_F(WorkspaceLimiterTest, TheDeathOfAHomeNeitherStarvesNorDoubles) {
+// Guards against refusing calls, or admitting twice the limit, after the home
+// of a workspace dies while four entries use the whole limit. The members learn
+// of it two seconds later and a new home takes over. Terms that end too early
+// leave the entries without credit; without a grace time the new home lends
+// again what is still in use.
+TEST_F(WorkspaceLimiterTest, TheDeathOfAHomeNeitherStopsNorDoublesAdmission) {
   const std::size_t home = m_fleet.HomeOf(kWorkspace);
   std::vector<double> rates(7, 50);
   rates[home] = 0;
@@ -249,15 +251,15 @@
   EXPECT_LE(m_load.meter().worst(), 2 * 100 + 6 * 4);
 }
 
-// Symptom: an entry that is cut off refuses all calls of a workspace.
-// Sequence: the entry is cut from all other nodes, its loans end, and its own
-// membership has not declared the others dead.
-// Cause: an entry that can only spend what the home lends has nothing left.
+// Guards against an entry that refuses all calls of a workspace while it is
+// disconnected from all other nodes: its loans end, its membership has not
+// declared the others dead, and an entry that can only use lent credit has none
+// left.
 TEST_F(WorkspaceLimiterTest, FallsBackToItsPartOfTheLimitWithoutAHome) {
   m_load.Run(10s, {100, 100});
-  m_fleet.network().SetSide(Away(), 1);
+  m_fleet.network().SetSide(EntryAwayFromHome(), 1);
   std::vector<double> rates(7, 0);
-  rates[Away()] = 100;
+  rates[EntryAwayFromHome()] = 100;
   m_load.Run(30s, rates);
   m_load.Reset();
   m_load.Run(30s, rates);
@@ -266,24 +268,22 @@
   EXPECT_LE(m_load.admitted() / 30, part * 1.05);
 }
 
-// Symptom: more calls of a workspace run than its contract allows, after an
-// entry was stopped for minutes.
-// Sequence: an entry borrows most of the rate; it is frozen beyond the term;
-// the home lends the same rate to others; the entry goes on.
-// Cause: a loan that is checked by a timer, and not against the clock at each
-// call, is still used when the process goes on.
+// Guards against exceeding a contract after an entry was stopped for minutes:
+// it borrows most of the rate, is frozen beyond the term while the home lends
+// the same rate to others, and resumes. A loan whose term is checked by a timer
+// instead of at each call would still be used.
 TEST_F(WorkspaceLimiterTest, AFrozenEntryDoesNotUseALapsedLoan) {
   std::vector<double> rates(7, 0);
-  rates[Away()] = 300;
+  rates[EntryAwayFromHome()] = 300;
   m_load.Run(10s, rates);
-  m_fleet.network().SetFrozen(Away(), true);
+  m_fleet.network().SetFrozen(EntryAwayFromHome(), true);
   m_load.Run(30s, {50, 50, 50, 50, 50, 50, 50});
   m_load.Reset();
-  m_fleet.network().SetFrozen(Away(), false);
-  // Before its timers run and before any datagram.
+  m_fleet.network().SetFrozen(EntryAwayFromHome(), false);
+  // Before its timers run and before any datagram arrives.
   for (int call = 0; call < 200; ++call)
-    m_load.Call(Away());
-  EXPECT_LE(m_load.admitted(Away()), 50.0 / 7 + 1);
+    m_load.Call(EntryAwayFromHome());
+  EXPECT_LE(m_load.admitted(EntryAwayFromHome()), 50.0 / 7 + 1);
 }
 
 }  // namespace
