--- a/source/benchmarks/limits_benchmark.cc
+++ b/source/benchmarks/limits_benchmark.cc
@@ -175,7 +175,7 @@
   const double window = ToSeconds(kColdWindow);
   for (double at = 0; at < ToSeconds(kColdRun); at += window) {
     const double before = load.admitted();
-    fleet.network().ForgetSent();
+    fleet.network().ResetSentCounters();
     load.Run(kColdWindow, rates);
     const double part =
         (load.admitted() - before) / window / limits.units_per_second;
@@ -230,7 +230,7 @@
     }
   };
   run(kSettlingSeconds);
-  fleet.network().ForgetSent();
+  fleet.network().ResetSentCounters();
   run(kSeconds);
   const double node_seconds = static_cast<double>(nodes) * kSeconds;
   fmt::print(
--- a/source/benchmarks/restart_benchmark.cc
+++ b/source/benchmarks/restart_benchmark.cc
@@ -34,7 +34,7 @@
   fmt::print("{:28} {:6.0f} {:12.0f} {:12.0f}\n", name, seconds,
              static_cast<double>(network.WireBytes()) / nodes / seconds,
              static_cast<double>(network.MostWireBytesOfANode()) / seconds);
-  network.ForgetSent();
+  network.ResetSentCounters();
 }
 
 // Calls at all entries, each for one of its `active` workspaces.
@@ -94,7 +94,7 @@
   fmt::print("limits: {} active of {} workspaces\n", active, workspaces);
   EvenCalls calls(active, workspaces, seed);
   calls.Run(kSettling);
-  calls.fleet().network().ForgetSent();
+  calls.fleet().network().ResetSentCounters();
   const std::size_t home = calls.BusyHome();
   calls.fleet().Kill(home);
   calls.Run(kDetection);
@@ -116,13 +116,13 @@
     for (std::uint64_t number = 1; number <= records; ++number)
       fleet.node(index).OnTargetLost(fleet.now(), Fingerprint(number));
   }
-  fleet.network().ForgetSent();
+  fleet.network().ResetSentCounters();
   fleet.Advance(kFirst);
   PrintWindow("nothing happens", fleet.network(), kFirst);
   fleet.Kill(0);
   fleet.Advance(kDetection);
   fleet.ShowMembers();
-  fleet.network().ForgetSent();
+  fleet.network().ResetSentCounters();
   fleet.Restart(0);
   fleet.ShowMembers();
   fleet.Advance(kFirst);
@@ -131,7 +131,7 @@
   fleet.ShowMembers(true);
   fleet.Advance(kDetection);
   fleet.network().SetFrozen(1, false);
-  fleet.network().ForgetSent();
+  fleet.network().ResetSentCounters();
   fleet.ShowMembers();
   fleet.Advance(kFirst);
   PrintWindow("a node comes back", fleet.network(), kFirst);
--- a/source/unit_tests/core/limits/datagram_network.h
+++ b/source/unit_tests/core/limits/datagram_network.h
@@ -85,7 +85,7 @@
   std::uint64_t MostWireBytesOfANode() const {
     return *std::max_element(m_sent_by.begin(), m_sent_by.end());
   }
-  void ForgetSent() {
+  void ResetSentCounters() {
     m_sent = 0;
     m_sent_bytes = 0;
     std::fill(m_sent_by.begin(), m_sent_by.end(), 0);
