--- a/source/benchmarks/limits_benchmark.cc
+++ b/source/benchmarks/limits_benchmark.cc
@@ -182,7 +182,7 @@
     if (part < kLentWell)
       reached = at + window;
     const auto bytes =
-        static_cast<double>(fleet.network().MostWireBytesOfANode());
+        static_cast<double>(fleet.network().MaxWireBytesPerNode());
     most_bytes = std::max(most_bytes, bytes / window);
     admitted = load.admitted() / (at + window) / limits.units_per_second;
   }
@@ -237,7 +237,7 @@
       "{:6} {:8} {:10} {:12.2f} {:12.0f} {:12.0f}\n", nodes, active, workspaces,
       static_cast<double>(fleet.network().sent()) / node_seconds,
       static_cast<double>(fleet.network().WireBytes()) / node_seconds,
-      static_cast<double>(fleet.network().MostWireBytesOfANode()) / kSeconds);
+      static_cast<double>(fleet.network().MaxWireBytesPerNode()) / kSeconds);
 }
 
 // One workspace at every entry: its home has the most to answer.
--- a/source/benchmarks/restart_benchmark.cc
+++ b/source/benchmarks/restart_benchmark.cc
@@ -33,7 +33,7 @@
   const auto nodes = static_cast<double>(kNodes);
   fmt::print("{:28} {:6.0f} {:12.0f} {:12.0f}\n", name, seconds,
              static_cast<double>(network.WireBytes()) / nodes / seconds,
-             static_cast<double>(network.MostWireBytesOfANode()) / seconds);
+             static_cast<double>(network.MaxWireBytesPerNode()) / seconds);
   network.ResetSentCounters();
 }
 
--- a/source/unit_tests/core/limits/datagram_network.h
+++ b/source/unit_tests/core/limits/datagram_network.h
@@ -82,7 +82,7 @@
   std::size_t largest() const { return m_largest; }
   // Includes the IP and UDP headers and the kind byte.
   std::uint64_t WireBytes() const { return m_sent_bytes + m_sent * kHeaders; }
-  std::uint64_t MostWireBytesOfANode() const {
+  std::uint64_t MaxWireBytesPerNode() const {
     return *std::max_element(m_sent_by.begin(), m_sent_by.end());
   }
   void ResetSentCounters() {
