--- a/source/unit_tests/core/limits/limiter_fleet.h
+++ b/source/unit_tests/core/limits/limiter_fleet.h
@@ -88,7 +88,7 @@
     return home->gossip.port - DatagramNetwork::kFirstPort;
   }
 
-  // The other nodes learn of it at the next UpdateMembers.
+  // The other nodes learn of it at the next PublishMembers.
   void Kill(std::size_t index) { m_alive[index] = false; }
   void Restart(std::size_t index) {
     m_alive[index] = true;
