--- a/source/benchmarks/limits_benchmark.cc
+++ b/source/benchmarks/limits_benchmark.cc
@@ -48,8 +48,8 @@
 
 void Nothing(LimiterFleet&, std::size_t) {}
 
-void ShowMembers(LimiterFleet& fleet, std::size_t) {
-  fleet.ShowMembers(true);
+void PublishMembers(LimiterFleet& fleet, std::size_t) {
+  fleet.PublishMembers(true);
 }
 
 void CutInHalf(LimiterFleet& fleet, std::size_t) {
@@ -60,7 +60,7 @@
 void Heal(LimiterFleet& fleet, std::size_t) {
   for (std::size_t index = 0; index < fleet.size(); ++index)
     fleet.network().SetSide(index, 0);
-  fleet.ShowMembers();
+  fleet.PublishMembers();
 }
 
 void KillHome(LimiterFleet& fleet, std::size_t home) {
@@ -73,7 +73,7 @@
 
 void ThawHome(LimiterFleet& fleet, std::size_t home) {
   fleet.network().SetFrozen(home, false);
-  fleet.ShowMembers();
+  fleet.PublishMembers();
 }
 
 void FreezeThird(LimiterFleet& fleet, std::size_t) {
@@ -84,15 +84,15 @@
 void ThawAll(LimiterFleet& fleet, std::size_t) {
   for (std::size_t index = 0; index < fleet.size(); ++index)
     fleet.network().SetFrozen(index, false);
-  fleet.ShowMembers();
+  fleet.PublishMembers();
 }
 
 std::vector<Scenario> Scenarios() {
   return {{"steady", Nothing, Nothing, Nothing},
-          {"home killed", KillHome, ShowMembers, Nothing},
-          {"home stopped 12 s", FreezeHome, ShowMembers, ThawHome},
-          {"third stopped 12 s", FreezeThird, ShowMembers, ThawAll},
-          {"cut in half 12 s", CutInHalf, ShowMembers, Heal}};
+          {"home killed", KillHome, PublishMembers, Nothing},
+          {"home stopped 12 s", FreezeHome, PublishMembers, ThawHome},
+          {"third stopped 12 s", FreezeThird, PublishMembers, ThawAll},
+          {"cut in half 12 s", CutInHalf, PublishMembers, Heal}};
 }
 
 void MeasureOverAdmission(std::size_t nodes,
--- a/source/benchmarks/restart_benchmark.cc
+++ b/source/benchmarks/restart_benchmark.cc
@@ -99,10 +99,10 @@
   calls.fleet().Kill(home);
   calls.Run(kDetection);
   PrintWindow("home dead, not noticed", calls.fleet().network(), kDetection);
-  calls.fleet().ShowMembers();
+  calls.fleet().PublishMembers();
   calls.Print("noticed");
   calls.fleet().Restart(home);
-  calls.fleet().ShowMembers();
+  calls.fleet().PublishMembers();
   calls.Print("replaced");
 }
 
@@ -121,18 +121,18 @@
   PrintWindow("nothing happens", fleet.network(), kFirst);
   fleet.Kill(0);
   fleet.Advance(kDetection);
-  fleet.ShowMembers();
+  fleet.PublishMembers();
   fleet.network().ResetSentCounters();
   fleet.Restart(0);
-  fleet.ShowMembers();
+  fleet.PublishMembers();
   fleet.Advance(kFirst);
   PrintWindow("a node is replaced", fleet.network(), kFirst);
   fleet.network().SetFrozen(1, true);
-  fleet.ShowMembers(true);
+  fleet.PublishMembers(true);
   fleet.Advance(kDetection);
   fleet.network().SetFrozen(1, false);
   fleet.network().ResetSentCounters();
-  fleet.ShowMembers();
+  fleet.PublishMembers();
   fleet.Advance(kFirst);
   PrintWindow("a node comes back", fleet.network(), kFirst);
   fleet.Advance(kDetection);
--- a/source/unit_tests/core/limits/limiter_fleet.h
+++ b/source/unit_tests/core/limits/limiter_fleet.h
@@ -49,7 +49,7 @@
         m_nodes(nodes) {
     for (std::size_t index = 0; index < nodes; ++index)
       StartNode(index);
-    ShowMembers();
+    PublishMembers();
   }
 
   TimePoint now() const { return m_now; }
@@ -98,7 +98,7 @@
 
   // Updates the member list of every running node to the live nodes of its
   // side. With `are_frozen_dead`, frozen nodes count as dead.
-  void ShowMembers(bool are_frozen_dead = false) {
+  void PublishMembers(bool are_frozen_dead = false) {
     for (std::size_t index = 0; index < size(); ++index) {
       if (IsRunning(index))
         ShowMembersTo(index, are_frozen_dead);
--- a/source/unit_tests/core/limits/limiter_fleet_property_test.cc
+++ b/source/unit_tests/core/limits/limiter_fleet_property_test.cc
@@ -131,7 +131,7 @@
     RunPeriod(fleet, load, period);
 
   fleet.network().SetFaults(NetworkFaults());
-  fleet.ShowMembers();
+  fleet.PublishMembers();
   const std::vector<double> rates = {60, 0, 200, 0, 10};
   load.Run(std::chrono::seconds(20), rates);
   load.Reset();
--- a/source/unit_tests/core/limits/workspace_limiter_test.cc
+++ b/source/unit_tests/core/limits/workspace_limiter_test.cc
@@ -245,7 +245,7 @@
   m_load.Reset();
   m_fleet.Kill(home);
   m_load.Run(2s, rates);
-  m_fleet.ShowMembers();
+  m_fleet.PublishMembers();
   m_load.Run(10s, rates);
   EXPECT_GE(m_load.admitted(), 0.9 * 12 * 100);
   EXPECT_LE(m_load.meter().worst(), 2 * 100 + 6 * 4);
--- a/source/unit_tests/core/quarantine/quarantine_fleet.h
+++ b/source/unit_tests/core/quarantine/quarantine_fleet.h
@@ -40,7 +40,7 @@
       m_nodes.push_back(std::make_unique<Node>(*this, index));
       Boot(index);
     }
-    ShowMembers();
+    PublishMembers();
   }
 
   void AddPoison(Fingerprint fingerprint) { m_poison.insert(fingerprint); }
@@ -126,7 +126,7 @@
     Boot(index);
   }
 
-  void ShowMembers(bool are_frozen_dead = false) {
+  void PublishMembers(bool are_frozen_dead = false) {
     for (std::size_t index = 0; index < size(); ++index) {
       if (IsRunning(index)) {
         node(index).SetMembers(
--- a/source/unit_tests/core/quarantine/quarantine_property_test.cc
+++ b/source/unit_tests/core/quarantine/quarantine_property_test.cc
@@ -71,17 +71,17 @@
   if (step.fault == Fault::kKill) {
     fleet.Kill(step.node);
     fleet.Advance(std::chrono::seconds(2));
-    fleet.ShowMembers();
+    fleet.PublishMembers();
     fleet.Advance(std::chrono::seconds(1));
     fleet.Restart(step.node);
-    fleet.ShowMembers();
+    fleet.PublishMembers();
   } else if (step.fault == Fault::kFreeze) {
     fleet.network().SetFrozen(step.node, true);
     fleet.Advance(std::chrono::seconds(2));
-    fleet.ShowMembers(true);
+    fleet.PublishMembers(true);
     fleet.Advance(std::chrono::seconds(2));
     fleet.network().SetFrozen(step.node, false);
-    fleet.ShowMembers();
+    fleet.PublishMembers();
   }
 }
 
--- a/source/unit_tests/core/quarantine/quarantine_test.cc
+++ b/source/unit_tests/core/quarantine/quarantine_test.cc
@@ -151,7 +151,7 @@
   ASSERT_EQ(m_fleet.TargetsCrashed(), 2U);
   m_fleet.Kill(3);
   m_fleet.Restart(3);
-  m_fleet.ShowMembers();
+  m_fleet.PublishMembers();
   m_fleet.Advance(100ms);
   m_fleet.Call(3, 3, kPoison, 5ms);
   m_fleet.Advance(1s);
@@ -200,7 +200,7 @@
   m_fleet.Advance(100ms);
   m_fleet.Kill(home);
   m_fleet.Advance(2s);
-  m_fleet.ShowMembers();
+  m_fleet.PublishMembers();
   for (int attempt = 0; attempt < 30; ++attempt) {
     m_fleet.Call(other, other, kInnocent, 50ms);
     m_fleet.Advance(500ms);
@@ -221,7 +221,7 @@
   const std::size_t home = m_fleet.HomeOf(kInnocent);
   m_fleet.network().SetFrozen(home, true);
   m_fleet.Advance(2s);
-  m_fleet.ShowMembers(true);
+  m_fleet.PublishMembers(true);
   m_fleet.Advance(7s);
   const std::size_t entry = Away(kInnocent);
   const std::size_t other = Away(kInnocent, 1);
@@ -229,7 +229,7 @@
   m_fleet.Advance(100ms);
   ASSERT_GT(m_fleet.node(entry).PermitTimeLeft(m_fleet.now(), kInnocent), 5s);
   m_fleet.network().SetFrozen(home, false);
-  m_fleet.ShowMembers();
+  m_fleet.PublishMembers();
   // Before the holder's renewal can reach it.
   for (int attempt = 0; attempt < 8; ++attempt) {
     m_fleet.Call(other, other, kInnocent, 50ms);
