--- a/source/unit_tests/core/limits/limiter_fleet.h
+++ b/source/unit_tests/core/limits/limiter_fleet.h
@@ -101,11 +101,11 @@
   void PublishMembers(bool are_frozen_dead = false) {
     for (std::size_t index = 0; index < size(); ++index) {
       if (IsRunning(index))
-        ShowMembersTo(index, are_frozen_dead);
+        PublishMembersTo(index, are_frozen_dead);
     }
   }
 
-  void ShowMembersTo(std::size_t index, bool are_frozen_dead = false) {
+  void PublishMembersTo(std::size_t index, bool are_frozen_dead = false) {
     m_nodes[index]->SetMembers(
         m_now, MembersOf(m_network.SideOf(index), are_frozen_dead));
   }
--- a/source/unit_tests/core/limits/limiter_fleet_property_test.cc
+++ b/source/unit_tests/core/limits/limiter_fleet_property_test.cc
@@ -53,7 +53,7 @@
   load.Run(std::chrono::seconds(2), rates);
   for (std::size_t index = 0; index < kNodes; ++index) {
     if (fleet.IsRunning(index))
-      fleet.ShowMembersTo(index, true);
+      fleet.PublishMembersTo(index, true);
     load.Run(std::chrono::milliseconds(100), rates);
   }
 }
