--- a/source/core/quarantine/broadcast_port.h
+++ b/source/core/quarantine/broadcast_port.h
@@ -1,5 +1,5 @@
-// How the quarantine tells every node something: the membership's gossip
-// carries it.
+// The interface through which the quarantine sends an item to every node. The
+// gossip of the membership carries it.
 
 #ifndef BULRUSHMOUNT_CORE_QUARANTINE_BROADCAST_PORT_H_
 #define BULRUSHMOUNT_CORE_QUARANTINE_BROADCAST_PORT_H_
@@ -15,9 +15,10 @@
  public:
   virtual ~BroadcastPort() = default;
 
-  // Spreads `payload` (under 40 bytes) to all members, at least to those that
-  // live on within `lifetime`. A later item with the same `key` from any node
-  // may take the place of an earlier one: the payloads merge at the receiver.
+  // Sends `payload` (less than 40 bytes) to all members that stay alive for
+  // `lifetime`, and possibly to others. An item may be replaced on its way by a
+  // later one with the same `key` from any node, because the receiver merges
+  // payloads.
   virtual void Broadcast(std::uint64_t key,
                          std::string payload,
                          Duration lifetime) = 0;
--- a/source/core/quarantine/permit_home.cc
+++ b/source/core/quarantine/permit_home.cc
@@ -17,7 +17,7 @@
                        NodeId entry,
                        const PermitAsk& ask,
                        bool is_settled) {
-  Sweep(now);
+  RemoveExpiredPermits(now);
   const auto found = m_holders.find(ask.fingerprint);
   if (found != m_holders.end()) {
     Holder& holder = found->second;
@@ -28,8 +28,8 @@
   }
   if (ask.is_return)
     return false;
-  // What goes wrong else: the old home died with a permit in use, and this one
-  // lets a second entry run the suspect beside the first.
+  // The previous home may have died with a permit in use. A new grant would let
+  // a second entry run the suspect concurrently.
   if (!is_settled && !ask.is_renewal)
     return false;
   return Grant(now, entry, ask);
@@ -49,8 +49,8 @@
     holder.is_returned = true;
     return false;
   }
-  // An entry has one permit for a fingerprint at a time, so a later one says
-  // that the earlier is over.
+  // An entry has one permit for a fingerprint at a time, so an ask for a later
+  // permit implies that the earlier one has ended.
   if (ask.permit == holder.permit && holder.is_returned)
     return false;
   return Grant(now, holder.entry, ask);
@@ -65,12 +65,12 @@
   holder.permit = ask.permit;
   holder.last_ask = ask.ask;
   holder.counted_until =
-      now + m_settings.permit_term + m_settings.permit_margin;
+      now + m_settings.permit_term + m_settings.permit_clock_drift_margin;
   holder.is_returned = false;
   return true;
 }
 
-void PermitHome::Sweep(TimePoint now) {
+void PermitHome::RemoveExpiredPermits(TimePoint now) {
   if (now - m_swept_at < m_settings.permit_term)
     return;
   m_swept_at = now;
--- a/source/core/quarantine/permit_home.h
+++ b/source/core/quarantine/permit_home.h
@@ -1,5 +1,5 @@
-// The arbiter of one suspect's runs: the home of its fingerprint lets one entry
-// at a time run it.
+// Grants permits to run suspect requests. The home of a fingerprint, found by
+// rendezvous hashing, lets one entry at a time run the request.
 
 #ifndef BULRUSHMOUNT_CORE_QUARANTINE_PERMIT_HOME_H_
 #define BULRUSHMOUNT_CORE_QUARANTINE_PERMIT_HOME_H_
@@ -15,10 +15,10 @@
 
 namespace bulrushmount {
 
-// A permit of one entry; local to that entry and rising there.
+// Number of a permit; local to one entry and increasing there.
 using PermitNumber = StrongType<struct PermitNumberTag, std::uint64_t>;
 
-// Orders the asks of one entry over all its permits; a reply repeats it.
+// Orders the asks of one entry over all its permits; the reply repeats it.
 using PermitAskNumber = StrongType<struct PermitAskNumberTag, std::uint64_t>;
 
 // An entry asks for, renews or returns a permit.
@@ -26,7 +26,7 @@
   Fingerprint fingerprint;
   PermitNumber permit;
   PermitAskNumber ask;
-  // The entry holds the permit already: the run may be going on.
+  // The entry already holds the permit, so the run may be in progress.
   bool is_renewal = false;
   bool is_return = false;
 };
@@ -42,11 +42,12 @@
  public:
   explicit PermitHome(const QuarantineSettings& settings);
 
-  // `is_home` says which permits stay.
+  // Drops the permits for which `is_home` returns false.
   void OnMembersChanged(const std::function<bool(Fingerprint)>& is_home);
 
-  // True if `entry` may run it, or go on, for the permit's term. `is_settled`:
-  // no earlier home's permit for the fingerprint can be in use any more.
+  // Returns whether `entry` may start or continue the run for the term of the
+  // permit. `is_settled`: no permit that an earlier home granted for the
+  // fingerprint can still be in use.
   bool OnAsk(TimePoint now,
              NodeId entry,
              const PermitAsk& ask,
@@ -59,15 +60,15 @@
     NodeId entry;
     PermitNumber permit;
     PermitAskNumber last_ask;
-    // Until then the holder may be running.
+    // The holder may be running the request until this time.
     TimePoint counted_until;
-    // Kept after its return, so that a late ask cannot take it again.
+    // A returned permit is kept, so that a delayed ask cannot take it again.
     bool is_returned = false;
   };
 
   bool OnAskOfHolder(TimePoint now, Holder& holder, const PermitAsk& ask);
   bool Grant(TimePoint now, NodeId entry, const PermitAsk& ask);
-  void Sweep(TimePoint now);
+  void RemoveExpiredPermits(TimePoint now);
 
   QuarantineSettings m_settings;
 
--- a/source/core/quarantine/quarantine.cc
+++ b/source/core/quarantine/quarantine.cc
@@ -17,8 +17,8 @@
       m_self(self),
       m_datagrams(datagrams),
       m_broadcasts(broadcasts),
-      m_ran_at(now),
-      m_unbroken_since(now),
+      m_last_run_at(now),
+      m_continuous_since(now),
       m_members({self}),
       m_suspicions(settings),
       m_permit_home(settings) {
@@ -29,7 +29,7 @@
 
 Verdict Quarantine::Check(TimePoint now, Fingerprint fingerprint) {
   NoticePause(now);
-  return m_suspicions.Judge(now, fingerprint);
+  return m_suspicions.VerdictOf(now, fingerprint);
 }
 
 void Quarantine::RequestPermit(TimePoint now,
@@ -42,7 +42,7 @@
   const bool is_full =
       found == m_permits.end() && m_permits.size() >= m_settings.max_records;
   if (is_taken || is_full ||
-      m_suspicions.Judge(now, fingerprint) == Verdict::kConvicted) {
+      m_suspicions.VerdictOf(now, fingerprint) == Verdict::kConvicted) {
     callback(PermitResult::kRefused);
     return;
   }
@@ -58,9 +58,9 @@
                            Fingerprint fingerprint,
                            PermitEnd end) {
   if (end == PermitEnd::kFinished)
-    NoteAndSpread(now, fingerprint, SuspicionState::kCleared);
+    RecordAndBroadcast(now, fingerprint, SuspicionState::kCleared);
   if (end == PermitEnd::kCrashed)
-    NoteAndSpread(now, fingerprint, SuspicionState::kConvicted);
+    RecordAndBroadcast(now, fingerprint, SuspicionState::kConvicted);
   const auto found = m_permits.find(fingerprint);
   if (found == m_permits.end() || found->second.stage != PermitStage::kHeld)
     return;
@@ -78,17 +78,17 @@
 }
 
 void Quarantine::OnTargetLost(TimePoint now, Fingerprint fingerprint) {
-  m_suspicions.Note(now, fingerprint, SuspicionState::kSuspect);
+  m_suspicions.SetState(now, fingerprint, SuspicionState::kSuspect);
 }
 
 void Quarantine::OnOwnerLost(TimePoint now, Fingerprint fingerprint) {
-  NoteAndSpread(now, fingerprint, SuspicionState::kSuspect);
+  RecordAndBroadcast(now, fingerprint, SuspicionState::kSuspect);
 }
 
 void Quarantine::OnOwnerRefused(TimePoint now, Fingerprint fingerprint) {
-  // A clearance that the owner has not heard of stays.
+  // Keeps a clearance that the owner has not received yet.
   if (!m_suspicions.Find(now, fingerprint))
-    m_suspicions.Note(now, fingerprint, SuspicionState::kSuspect);
+    m_suspicions.SetState(now, fingerprint, SuspicionState::kSuspect);
 }
 
 // --- Owner ------------------------------------------------------------------
@@ -96,17 +96,17 @@
 Reason Quarantine::AdmitWork(TimePoint now,
                              Fingerprint fingerprint,
                              bool is_suspect) {
-  const Verdict verdict = m_suspicions.Judge(now, fingerprint);
+  const Verdict verdict = m_suspicions.VerdictOf(now, fingerprint);
   if (verdict == Verdict::kConvicted)
     return Reason::kQuarantined;
-  // What goes wrong else: in the moments until the news of a crash is
-  // everywhere, an entry that has not heard sends its copy to one more target.
+  // Until the news of a crash has reached all nodes, an entry without it may
+  // send its copy of the request here, which could crash this target too.
   if (verdict == Verdict::kSuspect && !is_suspect)
     return Reason::kSuspect;
   if (is_suspect) {
     if (verdict == Verdict::kClear && !m_suspicions.Find(now, fingerprint))
-      m_suspicions.Note(now, fingerprint, SuspicionState::kSuspect);
-    if (RunsSuspect(now))
+      m_suspicions.SetState(now, fingerprint, SuspicionState::kSuspect);
+    if (HasRunningSuspect(now))
       return Reason::kSuspect;
   }
   RunningCopies& copies = m_running[fingerprint];
@@ -134,9 +134,9 @@
 void Quarantine::SuspectEnded(TimePoint now,
                               const std::vector<AdmittedWork>& works) {
   for (const AdmittedWork& work : works) {
-    NoteAndSpread(now, work.fingerprint,
-                  work.is_suspect ? SuspicionState::kConvicted
-                                  : SuspicionState::kSuspect);
+    RecordAndBroadcast(now, work.fingerprint,
+                       work.is_suspect ? SuspicionState::kConvicted
+                                       : SuspicionState::kSuspect);
   }
 }
 
@@ -151,16 +151,18 @@
   if (members == m_members)
     return;
   NoticePause(now);
-  NoticeReturns(now, members);
-  const Duration memory = m_settings.permit_term + m_settings.permit_margin;
+  HandleReturnedMembers(now, members);
+  const Duration max_permit_age =
+      m_settings.permit_term + m_settings.permit_clock_drift_margin;
   while (!m_past_members.empty() &&
-         now - m_past_members.front().until >= memory)
+         now - m_past_members.front().until >= max_permit_age)
     m_past_members.pop_front();
   m_past_members.push_back({now, std::move(m_members)});
   m_members = std::move(members);
   m_permit_home.OnMembersChanged(
       [this](Fingerprint fingerprint) { return IsHome(fingerprint); });
-  // A new home must learn of the permits in use before its wait is over.
+  // A new home must learn of the permits in use before it starts to grant, so
+  // they are renewed immediately.
   for (auto& [fingerprint, permit] : m_permits) {
     if (permit.stage == PermitStage::kHeld)
       permit.next_ask = now;
@@ -180,10 +182,10 @@
   for (const SuspicionNews& news : datagram->known)
     m_suspicions.Merge(now, news);
   if (datagram->wants_known)
-    ReportKnown(now, from);
+    SendKnownNews(now, from);
   if (!datagram->ask && !datagram->reply && !datagram->wants_known) {
     m_catch_up_tries = 0;
-    m_is_behind = false;
+    m_has_missed_news = false;
   }
   if (datagram->ask)
     OnAsk(now, from, datagram->sender, *datagram->ask);
@@ -200,8 +202,8 @@
 void Quarantine::OnTimer(TimePoint now) {
   NoticePause(now);
   if (m_catch_up_tries > 0 && m_next_catch_up <= now)
-    AskForKnown(now);
-  // Callbacks may change m_permits, so the due ones are found first.
+    RequestMissedNews(now);
+  // Callbacks may change m_permits, so the due permits are collected first.
   std::vector<Fingerprint> due;
   for (const auto& [fingerprint, permit] : m_permits) {
     if (permit.ends_at <= now || permit.next_ask <= now)
@@ -213,9 +215,9 @@
       continue;
     Permit& permit = found->second;
     if (permit.ends_at <= now && permit.stage == PermitStage::kAsking) {
-      GiveUp(now, fingerprint, permit);
+      AbandonAsk(now, fingerprint, permit);
     } else if (permit.ends_at <= now) {
-      End(fingerprint, PermitResult::kLost);
+      FinishPermit(fingerprint, PermitResult::kLost);
     } else if (permit.next_ask <= now) {
       SendAsk(now, fingerprint, permit);
     }
@@ -223,7 +225,7 @@
 }
 
 TimePoint Quarantine::NextWakeup() const {
-  TimePoint wakeup = m_ran_at + m_settings.longest_pause / 3;
+  TimePoint wakeup = m_last_run_at + m_settings.pause_threshold / 3;
   if (m_catch_up_tries > 0)
     wakeup = std::min(wakeup, m_next_catch_up);
   for (const auto& [fingerprint, permit] : m_permits)
@@ -232,30 +234,31 @@
 }
 
 bool Quarantine::IsCaughtUp() const {
-  return !m_is_behind || m_catch_up_tries == 0 || m_members.size() == 1;
+  return !m_has_missed_news || m_catch_up_tries == 0 || m_members.size() == 1;
 }
 
 // --- Internal ---------------------------------------------------------------
 
-// What goes wrong without it: a home is stopped, its permits lapse, another
-// home stands in for it; it goes on and grants what the other has granted too.
+// Detects that this node was paused. A paused home lets its permits expire and
+// is replaced by another home. If it resumed without noticing, it would grant
+// permits that the other home has granted too.
 void Quarantine::NoticePause(TimePoint now) {
-  if (now - m_ran_at > m_settings.longest_pause) {
-    m_unbroken_since = now;
-    m_is_behind = true;
+  if (now - m_last_run_at > m_settings.pause_threshold) {
+    m_continuous_since = now;
+    m_has_missed_news = true;
     StartCatchUp(now);
   }
-  m_ran_at = now;
+  m_last_run_at = now;
 }
 
-// What goes wrong without it: a node that is new, or was stopped, has missed
-// the news and runs a convicted request on its own target.
+// Starts to fetch missed news. Without it a node that was started or paused
+// would run a quarantined request on its own target.
 void Quarantine::StartCatchUp(TimePoint now) {
   m_catch_up_tries = m_settings.catch_up_tries;
   m_next_catch_up = now;
 }
 
-void Quarantine::AskForKnown(TimePoint now) {
+void Quarantine::RequestMissedNews(TimePoint now) {
   m_next_catch_up = now + m_settings.catch_up_retry;
   std::vector<Peer> others;
   for (const Peer& member : m_members) {
@@ -264,7 +267,7 @@
   }
   if (others.empty())
     return;
-  // Another one at each try.
+  // Each attempt asks a different member.
   const std::uint64_t key =
       m_self.id.value() + static_cast<std::uint64_t>(m_catch_up_tries);
   --m_catch_up_tries;
@@ -275,10 +278,11 @@
                    DatagramKind::kQuarantine, EncodeQuarantine(datagram));
 }
 
-void Quarantine::ReportKnown(TimePoint now, const Endpoint& to) {
+void Quarantine::SendKnownNews(TimePoint now, const Endpoint& to) {
   std::vector<SuspicionNews> known = m_suspicions.Newest(
       now, m_settings.catch_up_datagrams * kMaxKnownPerDatagram);
-  // One empty datagram says that there is nothing.
+  // Sends at least one datagram; an empty one reports that there are no
+  // records.
   do {
     const std::size_t count = std::min(known.size(), kMaxKnownPerDatagram);
     const auto end = known.begin() + static_cast<std::ptrdiff_t>(count);
@@ -290,15 +294,16 @@
   } while (!known.empty());
 }
 
-// The same after a partition: the other side had homes of its own.
-void Quarantine::NoticeReturns(TimePoint now,
-                               const std::vector<Peer>& members) {
+// Members that return after a partition had homes of their own on the other
+// side, so this node treats their return like its own pause.
+void Quarantine::HandleReturnedMembers(TimePoint now,
+                                       const std::vector<Peer>& members) {
   for (const Peer& member : members) {
     const bool is_back = std::find(m_departed.begin(), m_departed.end(),
                                    member.id) != m_departed.end();
     if (!is_back)
       continue;
-    m_unbroken_since = now;
+    m_continuous_since = now;
     StartCatchUp(now);
     std::erase(m_departed, member.id);
   }
@@ -313,10 +318,10 @@
     m_departed.pop_front();
 }
 
-void Quarantine::NoteAndSpread(TimePoint now,
-                               Fingerprint fingerprint,
-                               SuspicionState state) {
-  m_suspicions.Note(now, fingerprint, state);
+void Quarantine::RecordAndBroadcast(TimePoint now,
+                                    Fingerprint fingerprint,
+                                    SuspicionState state) {
+  m_suspicions.SetState(now, fingerprint, state);
   const std::optional<SuspicionNews> news = NewsOf(now, fingerprint);
   if (news) {
     m_broadcasts.Broadcast(fingerprint.value(), EncodeNews(*news),
@@ -361,19 +366,19 @@
                        const Endpoint& from,
                        NodeId entry,
                        const PermitAsk& ask) {
-  // An entry with other members than ours asks the wrong node: no answer, and
-  // it refuses its call.
+  // An entry with a different member list sends its ask to the wrong node. It
+  // gets no answer and refuses its call.
   if (!IsHome(ask.fingerprint))
     return;
-  const bool is_convicted =
-      m_suspicions.Judge(now, ask.fingerprint) == Verdict::kConvicted;
+  const bool is_quarantined =
+      m_suspicions.VerdictOf(now, ask.fingerprint) == Verdict::kConvicted;
   const bool is_settled = IsSettledHome(now, ask.fingerprint);
   PermitReply reply;
   reply.fingerprint = ask.fingerprint;
   reply.permit = ask.permit;
   reply.ask = ask.ask;
   reply.is_granted =
-      m_permit_home.OnAsk(now, entry, ask, is_settled) && !is_convicted;
+      m_permit_home.OnAsk(now, entry, ask, is_settled) && !is_quarantined;
   if (entry == m_self.id) {
     OnReply(now, reply);
     return;
@@ -395,9 +400,10 @@
     return;
   const SentAsk& asked = is_last ? permit.last_ask : permit.previous_ask;
   if (!reply.is_granted) {
-    // A held permit goes on until its term: the home may be new and waiting.
+    // A held permit stays valid until its term ends: the home may be new and
+    // not ready to grant.
     if (permit.stage != PermitStage::kHeld)
-      End(reply.fingerprint, PermitResult::kRefused);
+      FinishPermit(reply.fingerprint, PermitResult::kRefused);
     return;
   }
   if (permit.stage == PermitStage::kReturning)
@@ -413,11 +419,11 @@
   callback(PermitResult::kGranted);
 }
 
-// The home may have granted it, with the reply lost: it is given back, or
-// nobody could run the suspect until the permit's term ends.
-void Quarantine::GiveUp(TimePoint now,
-                        Fingerprint fingerprint,
-                        Permit& permit) {
+// The home may have granted the permit with the reply lost. Returns it, because
+// otherwise no entry could run the suspect until the term of the permit ends.
+void Quarantine::AbandonAsk(TimePoint now,
+                            Fingerprint fingerprint,
+                            Permit& permit) {
   const PermitCallback callback = std::move(permit.callback);
   permit.callback = nullptr;
   permit.stage = PermitStage::kReturning;
@@ -426,7 +432,7 @@
   callback(PermitResult::kRefused);
 }
 
-void Quarantine::End(Fingerprint fingerprint, PermitResult result) {
+void Quarantine::FinishPermit(Fingerprint fingerprint, PermitResult result) {
   const auto found = m_permits.find(fingerprint);
   const PermitCallback callback = std::move(found->second.callback);
   m_permits.erase(found);
@@ -439,26 +445,27 @@
 }
 
 bool Quarantine::IsSettledHome(TimePoint now, Fingerprint fingerprint) const {
-  const Duration memory = m_settings.permit_term + m_settings.permit_margin;
-  if (now - m_unbroken_since < memory)
+  const Duration max_permit_age =
+      m_settings.permit_term + m_settings.permit_clock_drift_margin;
+  if (now - m_continuous_since < max_permit_age)
     return false;
   return std::all_of(
       m_past_members.begin(), m_past_members.end(),
       [&](const PastMembers& past) {
-        return now - past.until >= memory ||
+        return now - past.until >= max_permit_age ||
                RendezvousHome(past.members, fingerprint.value())->id ==
                    m_self.id;
       });
 }
 
-// What goes wrong with the verdict alone: an entry that has missed a clearance
-// sends the cleared request with a permit. A poison request admitted beside it
-// takes the target down, and that entry convicts both. So a copy counts by how
-// it was admitted as well.
-bool Quarantine::RunsSuspect(TimePoint now) {
+// Counts a copy as suspect also if it was admitted with a permit, whatever its
+// verdict is here. An entry that has missed a clearance sends the cleared
+// request with a permit. If a poison request were admitted beside it and
+// crashed the target, that entry would quarantine both.
+bool Quarantine::HasRunningSuspect(TimePoint now) {
   return std::any_of(m_running.begin(), m_running.end(), [&](const auto& item) {
     return item.second.suspect > 0 ||
-           m_suspicions.Judge(now, item.first) != Verdict::kClear;
+           m_suspicions.VerdictOf(now, item.first) != Verdict::kClear;
   });
 }
 
--- a/source/core/quarantine/quarantine.h
+++ b/source/core/quarantine/quarantine.h
@@ -1,7 +1,8 @@
-// Requests that crash the target they run on. What was in flight when a target
-// went down is suspect everywhere; a suspect runs alone among suspects on its
-// target and nowhere else at the same time; finishing clears it, and a crash
-// under those terms convicts it.
+// Limits the damage by poison requests, which crash the target that they run
+// on. Requests that were in flight when a target crashed become suspect on all
+// nodes. A suspect runs under a permit: on one target at a time in the fleet,
+// and as the only suspect on that target. If it finishes it is cleared; if the
+// target crashes it is quarantined.
 
 #ifndef BULRUSHMOUNT_CORE_QUARANTINE_QUARANTINE_H_
 #define BULRUSHMOUNT_CORE_QUARANTINE_QUARANTINE_H_
@@ -28,31 +29,35 @@
 
 namespace bulrushmount {
 
-// A request that an owner admitted to its target.
+// A request that an owner, the node beside the target, has admitted to its
+// target.
 struct AdmittedWork {
   Fingerprint fingerprint;
-  // It was admitted as a suspect, with a permit.
+  // Whether it was admitted as a suspect, with a permit.
   bool is_suspect = false;
 };
 
 enum class PermitResult : std::uint8_t {
-  // Run it now, once, with WorkHead::is_suspect set, and call EndPermit.
+  // Run the request now, once, with WorkHead::is_suspect set, and call
+  // EndPermit.
   kGranted,
-  // It runs elsewhere, is convicted, or its home is silent: refuse the call as
-  // not run, Reason::kQuarantined if it is convicted, else Reason::kSuspect.
+  // The request runs elsewhere, is quarantined, or its home does not answer.
+  // Refuse the call as not run, with Reason::kQuarantined if it is quarantined,
+  // otherwise with Reason::kSuspect.
   kRefused,
-  // After kGranted: the home has not confirmed the permit in its term. Cancel
-  // the run; EndPermit is not needed.
+  // Reported after kGranted: the home has not renewed the permit within its
+  // term. Cancel the run; EndPermit is not needed.
   kLost,
 };
 
 // How the run under a permit ended.
 enum class PermitEnd : std::uint8_t {
-  // The whole answer came: clears the fingerprint.
+  // The complete response arrived; clears the fingerprint.
   kFinished,
-  // The target, or its whole node, was lost: convicts it.
+  // The target or its whole node was lost; quarantines the fingerprint.
   kCrashed,
-  // Never handed over, cancelled, or lost in another way: proves nothing.
+  // Never handed to the target, cancelled, or lost in another way; changes
+  // nothing.
   kInconclusive,
 };
 
@@ -72,60 +77,67 @@
 
   // --- Entry ---
 
-  // kClear: run it. kSuspect: ask for a permit. kConvicted: refuse the call as
-  // not run, Reason::kQuarantined.
+  // kClear: run the request. kSuspect: request a permit. kConvicted: refuse the
+  // call as not run, with Reason::kQuarantined.
   Verdict Check(TimePoint now, Fingerprint fingerprint);
 
-  // Calls back exactly once with kGranted or kRefused, at the latest after
-  // QuarantineSettings::permit_timeout, possibly before it returns.
+  // Calls `callback` exactly once with kGranted or kRefused, within
+  // QuarantineSettings::permit_timeout and possibly before returning. After
+  // kGranted it may call it again with kLost.
   void RequestPermit(TimePoint now,
                      Fingerprint fingerprint,
                      PermitCallback callback);
   void EndPermit(TimePoint now, Fingerprint fingerprint, PermitEnd end);
-  // What is left of the permit; zero without one. A suspect's run must not
-  // begin later.
+  // Returns the remaining time of the permit; zero without one. The run must
+  // not start after that time.
   Duration PermitTimeLeft(TimePoint now, Fingerprint fingerprint) const;
 
-  // A dispatch without a permit failed with kTargetLost: it is suspect here
-  // before the owner's news has come round.
+  // A dispatch without a permit failed with kTargetLost. Makes the request
+  // suspect on this node before news from the owner arrives.
   void OnTargetLost(TimePoint now, Fingerprint fingerprint);
-  // Such a dispatch was lost with kNodeLost: its owner may have gone down with
-  // the target and can tell nobody, so this tells all.
+  // A dispatch without a permit failed with kNodeLost. The owner may have
+  // failed together with the target and cannot report it, so this node informs
+  // all others.
   void OnOwnerLost(TimePoint now, Fingerprint fingerprint);
-  // An owner refused a dispatch with kSuspect or kQuarantined: it knows more
-  // than this entry. Ask for a permit before the next try.
+  // An owner refused a dispatch with kSuspect or kQuarantined, because it has
+  // news that this entry lacks. Request a permit before the next attempt.
   void OnOwnerRefused(TimePoint now, Fingerprint fingerprint);
 
   // --- Owner ---
 
-  // kNone: it may be handed to the target; it then owes one OnWorkEnded or, at
-  // a crash, its place in OnTargetCrashed. kQuarantined: convicted. kSuspect: a
-  // suspect whose entry does not know, or another suspect runs here.
+  // Returns kNone if the request may be handed to the target. It must then be
+  // reported once, to OnWorkEnded or, if the target crashes, to
+  // OnTargetCrashed. Returns kQuarantined for a quarantined request, and
+  // kSuspect for a suspect that was sent without a permit or while another
+  // suspect runs here.
   Reason AdmitWork(TimePoint now, Fingerprint fingerprint, bool is_suspect);
   void OnWorkEnded(const AdmittedWork& work);
 
-  // The target beside this node went down with `works` handed to it and not
-  // ended; these owe no OnWorkEnded.
+  // The target beside this node crashed. `works` are the requests that it was
+  // running; OnWorkEnded must not be called for them.
   void OnTargetCrashed(TimePoint now, const std::vector<AdmittedWork>& works);
 
-  // The same for works whose OnWorkEnded was called before it was known that
-  // the target went down.
+  // The same for requests whose OnWorkEnded was called before the crash was
+  // detected.
   void SuspectEnded(TimePoint now, const std::vector<AdmittedWork>& works);
 
   // --- All ---
 
   // All live members; this node is added if it is missing.
   void SetMembers(TimePoint now, std::vector<Peer> members);
-  // A datagram of DatagramKind::kQuarantine, without its kind's byte.
+  // Handles a datagram of DatagramKind::kQuarantine, without the kind byte.
   void OnDatagram(TimePoint now, const Endpoint& from, std::string_view bytes);
-  // What another node gave to BroadcastPort; repeats do no harm.
+  // Handles a payload that another node gave to BroadcastPort; repeats have no
+  // effect.
   void OnBroadcast(TimePoint now, std::string_view payload);
   void OnTimer(TimePoint now);
-  // Never far off: a node notices by it that it was stopped.
+  // Returns a time at most a third of the pause threshold after the last call,
+  // so that the node detects that it was paused.
   TimePoint NextWakeup() const;
 
-  // False while a node that is new, or was stopped, asks for the news it has
-  // missed, for 2 s at most. It should not take calls or work until then.
+  // Returns false while a node that was started or paused fetches the news that
+  // it has missed, for at most 2 s. The node should not accept calls or work
+  // until then.
   bool IsCaughtUp() const;
 
   std::size_t RecordCount() const { return m_suspicions.size(); }
@@ -134,37 +146,39 @@
   enum class PermitStage : std::uint8_t {
     kAsking,
     kHeld,
-    // The run is over; repeated until the home has heard it, or the permit
-    // would be void anyway.
+    // The run has ended. The return is repeated until the home has received it
+    // or the permit would have expired.
     kReturning,
   };
 
-  // When an ask was sent: the term counts from then. Counted from the reply, a
-  // delayed reply would stretch it beyond the home's count.
+  // An ask and when it was sent. The term of a permit counts from this time: if
+  // it counted from the reply, a delayed reply would extend the term beyond the
+  // time until which the home counts the permit.
   struct SentAsk {
     PermitAskNumber number;
     TimePoint sent_at;
   };
 
-  // A permit that this entry asks for, holds or gives back.
+  // A permit that this entry asks for, holds or returns.
   struct Permit {
     PermitNumber number;
     PermitStage stage = PermitStage::kAsking;
     PermitCallback callback;
-    // kAsking: when to give up. Else: when the permit is void.
+    // With kAsking: when to give up. Otherwise: when the permit expires.
     TimePoint ends_at;
     TimePoint next_ask;
     SentAsk last_ask;
     SentAsk previous_ask;
   };
 
-  // Copies of one request that run here, by how they were admitted.
+  // Number of copies of one request that run here, by how they were admitted.
   struct RunningCopies {
     std::size_t plain = 0;
     std::size_t suspect = 0;
   };
 
-  // Members until a change of late: a permit of that time's home may be in use.
+  // A former member list. A permit granted by the home in that list may be in
+  // use.
   struct PastMembers {
     TimePoint until;
     std::vector<Peer> members;
@@ -172,12 +186,12 @@
 
   void NoticePause(TimePoint now);
   void StartCatchUp(TimePoint now);
-  void AskForKnown(TimePoint now);
-  void ReportKnown(TimePoint now, const Endpoint& to);
-  void NoticeReturns(TimePoint now, const std::vector<Peer>& members);
-  void NoteAndSpread(TimePoint now,
-                     Fingerprint fingerprint,
-                     SuspicionState state);
+  void RequestMissedNews(TimePoint now);
+  void SendKnownNews(TimePoint now, const Endpoint& to);
+  void HandleReturnedMembers(TimePoint now, const std::vector<Peer>& members);
+  void RecordAndBroadcast(TimePoint now,
+                          Fingerprint fingerprint,
+                          SuspicionState state);
   std::optional<SuspicionNews> NewsOf(TimePoint now, Fingerprint fingerprint);
   void SendAsk(TimePoint now, Fingerprint fingerprint, Permit& permit);
   void OnAsk(TimePoint now,
@@ -185,41 +199,42 @@
              NodeId entry,
              const PermitAsk& ask);
   void OnReply(TimePoint now, const PermitReply& reply);
-  void GiveUp(TimePoint now, Fingerprint fingerprint, Permit& permit);
-  // Takes the permit out and calls back.
-  void End(Fingerprint fingerprint, PermitResult result);
+  void AbandonAsk(TimePoint now, Fingerprint fingerprint, Permit& permit);
+  // Removes the permit and calls its callback.
+  void FinishPermit(Fingerprint fingerprint, PermitResult result);
   bool IsHome(Fingerprint fingerprint) const;
   bool IsSettledHome(TimePoint now, Fingerprint fingerprint) const;
-  bool RunsSuspect(TimePoint now);
+  bool HasRunningSuspect(TimePoint now);
 
   QuarantineSettings m_settings;
   Peer m_self;
   DatagramPort& m_datagrams;
   BroadcastPort& m_broadcasts;
-  // The last time that the node ran.
-  TimePoint m_ran_at;
-  // Since then no other node can have become a home in place of this one
-  // without m_past_members telling of it.
-  TimePoint m_unbroken_since;
-  // While positive, this node asks others for what it has missed.
+  // The last time that a method was called.
+  TimePoint m_last_run_at;
+  // Since this time another node can have acted as home in place of this one
+  // only under a member list in m_past_members.
+  TimePoint m_continuous_since;
+  // While positive, this node asks others for news that it has missed.
   int m_catch_up_tries = 0;
-  // It has missed news for certain. A node that another one comes back to asks
-  // too, but goes on.
-  bool m_is_behind = true;
+  // This node was started or paused and has missed news. When a lost member
+  // returns, this node fetches news too but continues to serve.
+  bool m_has_missed_news = true;
   TimePoint m_next_catch_up;
-  // Members that were lost; oldest first.
+  // Lost members; oldest first.
   std::deque<NodeId> m_departed;
   std::vector<Peer> m_members;
   // Newest last.
   std::deque<PastMembers> m_past_members;
   SuspicionTable m_suspicions;
   PermitHome m_permit_home;
-  // At most one for each fingerprint: a second request here is refused while
-  // the first asks or runs.
+  // At most one for each fingerprint: a second request for it at this entry is
+  // refused while the first asks or runs.
   std::unordered_map<Fingerprint, Permit> m_permits;
   std::uint64_t m_last_permit = 0;
   std::uint64_t m_last_ask = 0;
-  // What runs on the target beside this node. Never both counts zero.
+  // Requests that run on the target beside this node. The counts of an item are
+  // never both zero.
   std::unordered_map<Fingerprint, RunningCopies> m_running;
 };
 
--- a/source/core/quarantine/quarantine_codec.cc
+++ b/source/core/quarantine/quarantine_codec.cc
@@ -16,7 +16,7 @@
   out.set_age_ms(static_cast<std::uint32_t>(age.count()));
 }
 
-// A state that this release does not know is dropped, not guessed.
+// Returns nothing for a state that this release does not know.
 std::optional<SuspicionNews> Decode(const wire::SuspicionNews& in) {
   const std::uint32_t state = in.state();
   if (state < static_cast<std::uint32_t>(SuspicionState::kSuspect) ||
--- a/source/core/quarantine/quarantine_codec.h
+++ b/source/core/quarantine/quarantine_codec.h
@@ -1,5 +1,4 @@
-// The datagrams and broadcasts of the quarantine: typed messages to bytes and
-// back.
+// Encodes and decodes the datagrams and broadcasts of the quarantine.
 
 #ifndef BULRUSHMOUNT_CORE_QUARANTINE_QUARANTINE_CODEC_H_
 #define BULRUSHMOUNT_CORE_QUARANTINE_QUARANTINE_CODEC_H_
@@ -19,21 +18,22 @@
   NodeId sender;
   std::optional<PermitAsk> ask;
   std::optional<PermitReply> reply;
-  // What the sender knows of the fingerprint: so a permit's end and its verdict
-  // arrive together.
+  // What the sender knows of the fingerprint. It is sent with the permit
+  // messages so that the end of a permit and the resulting verdict arrive
+  // together.
   std::optional<SuspicionNews> news;
-  // The sender has been away and asks for what the receiver knows.
+  // The sender was started or paused and asks for what the receiver knows.
   bool wants_known = false;
   std::vector<SuspicionNews> known;
 };
 
-// So many fit into `known` of one datagram.
+// The number of records that fit into `known` of one datagram.
 inline constexpr std::size_t kMaxKnownPerDatagram = 36;
 
 std::string EncodeQuarantine(const QuarantineDatagram& datagram);
 std::string EncodeNews(const SuspicionNews& news);
 
-// Empty for what is no such message.
+// Return nothing if `bytes` are not a valid message.
 std::optional<QuarantineDatagram> DecodeQuarantine(std::string_view bytes);
 std::optional<SuspicionNews> DecodeNews(std::string_view bytes);
 
--- a/source/core/quarantine/quarantine_settings.h
+++ b/source/core/quarantine/quarantine_settings.h
@@ -1,4 +1,4 @@
-// Settings of the quarantine, with their defaults in one place.
+// Settings of the quarantine with their defaults.
 
 #ifndef BULRUSHMOUNT_CORE_QUARANTINE_QUARANTINE_SETTINGS_H_
 #define BULRUSHMOUNT_CORE_QUARANTINE_QUARANTINE_SETTINGS_H_
@@ -11,38 +11,40 @@
 namespace bulrushmount {
 
 struct QuarantineSettings {
-  // A convicted request is refused for this long, and is suspect for as long
-  // again.
+  // A quarantined request is refused for this long and is suspect for the same
+  // time afterwards.
   Duration conviction_time = std::chrono::minutes(10);
-  // A suspect that nobody sends again is forgotten after this long.
+  // A suspect is forgotten if it is not reported again for this long.
   Duration suspicion_time = std::chrono::minutes(10);
-  // For how long old news cannot make a cleared request suspect again.
+  // A clearance is remembered for this long, so that delayed news of the
+  // earlier suspicion cannot make the request suspect again.
   Duration clearance_time = std::chrono::minutes(2);
-  // A permit is valid for this long from before it was asked for or renewed.
-  // Must exceed the time in which all nodes learn of a new member.
+  // Term of a permit, counted from when the ask or renewal was sent. Must
+  // exceed the time in which all nodes learn of a new member.
   Duration permit_term = std::chrono::seconds(6);
-  // The home counts a permit for this much longer: clock drift.
-  Duration permit_margin = std::chrono::milliseconds(500);
+  // The home counts a permit as in use for this long beyond its term, to allow
+  // for clock drift between nodes.
+  Duration permit_clock_drift_margin = std::chrono::milliseconds(500);
   Duration permit_renewal = std::chrono::seconds(2);
-  // Between two tries of an ask.
+  // Time between two attempts of an ask.
   Duration permit_retry = std::chrono::milliseconds(100);
-  // Between two tries of giving a permit back.
+  // Time between two attempts to return a permit.
   Duration return_retry = std::chrono::seconds(1);
-  // Without an answer for this long the call is refused.
+  // A call that gets no answer to its ask for this long is refused.
   Duration permit_timeout = std::chrono::milliseconds(300);
-  // How long gossip carries news; below clearance_time, so that old news of a
-  // suspicion does not outlive the memory of its clearance.
+  // How long gossip carries news. Must be less than clearance_time, so that old
+  // news of a suspicion does not outlive the record of its clearance.
   Duration broadcast_lifetime = std::chrono::seconds(60);
-  // A node that has not run for this long may have been taken for dead, and
-  // another home may have stood in for it. Below the time in which membership
-  // declares a death.
-  Duration longest_pause = std::chrono::milliseconds(1500);
-  // Between two tries to learn what was missed while away, and how many.
+  // A node that was paused for longer than this may have been declared dead,
+  // and another home may have replaced it. Must be less than the time in which
+  // the membership declares a death.
+  Duration pause_threshold = std::chrono::milliseconds(1500);
+  // Interval and number of the attempts to fetch news that was missed.
   Duration catch_up_retry = std::chrono::milliseconds(200);
   int catch_up_tries = 10;
-  // Datagrams that answer one such try.
+  // Maximum number of datagrams that answer one attempt.
   std::size_t catch_up_datagrams = 4;
-  // Fingerprints remembered; 48 bytes or so each.
+  // Maximum number of recorded fingerprints; about 48 bytes each.
   std::size_t max_records = 4096;
 };
 
--- a/source/core/quarantine/suspicion_table.cc
+++ b/source/core/quarantine/suspicion_table.cc
@@ -15,7 +15,7 @@
 SuspicionTable::SuspicionTable(const QuarantineSettings& settings)
     : m_settings(settings) {}
 
-Verdict SuspicionTable::Judge(TimePoint now, Fingerprint fingerprint) {
+Verdict SuspicionTable::VerdictOf(TimePoint now, Fingerprint fingerprint) {
   const Record* record = FindRecord(now, fingerprint);
   if (record == nullptr)
     return Verdict::kClear;
@@ -25,7 +25,8 @@
     case SuspicionState::kCleared:
       return Verdict::kClear;
     case SuspicionState::kConvicted:
-      return IsOnParole(now, *record) ? Verdict::kSuspect : Verdict::kConvicted;
+      return IsQuarantineOver(now, *record) ? Verdict::kSuspect
+                                            : Verdict::kConvicted;
   }
   return Verdict::kClear;
 }
@@ -39,48 +40,48 @@
                        now - record->changed_at};
 }
 
-void SuspicionTable::Note(TimePoint now,
-                          Fingerprint fingerprint,
-                          SuspicionState state) {
+void SuspicionTable::SetState(TimePoint now,
+                              Fingerprint fingerprint,
+                              SuspicionState state) {
   const Record* record = FindRecord(now, fingerprint);
   if (record == nullptr) {
-    Put(now, fingerprint, {Generation(1), state});
+    StoreRecord(now, fingerprint, {Generation(1), state});
     return;
   }
   const Suspicion known = record->suspicion;
   if (known.state == SuspicionState::kConvicted) {
     const bool is_new =
-        state != SuspicionState::kSuspect && IsOnParole(now, *record);
+        state != SuspicionState::kSuspect && IsQuarantineOver(now, *record);
     if (is_new)
-      Put(now, fingerprint, {Next(known.generation), state});
+      StoreRecord(now, fingerprint, {Next(known.generation), state});
     return;
   }
   const bool is_suspect_again = known.state == SuspicionState::kCleared &&
                                 state == SuspicionState::kSuspect;
   const Generation generation =
       is_suspect_again ? Next(known.generation) : known.generation;
-  Put(now, fingerprint, {generation, state});
+  StoreRecord(now, fingerprint, {generation, state});
 }
 
-bool SuspicionTable::Merge(TimePoint now, const SuspicionNews& told) {
-  const Record* record = FindRecord(now, told.fingerprint);
-  if (record != nullptr && !IsLater(told.suspicion, record->suspicion))
+bool SuspicionTable::Merge(TimePoint now, const SuspicionNews& received) {
+  const Record* record = FindRecord(now, received.fingerprint);
+  if (record != nullptr && !Overrides(received.suspicion, record->suspicion))
     return false;
-  if (told.age >= LifetimeOf(told.suspicion.state))
+  if (received.age >= LifetimeOf(received.suspicion.state))
     return false;
-  Put(now - told.age, told.fingerprint, told.suspicion);
+  StoreRecord(now - received.age, received.fingerprint, received.suspicion);
   return true;
 }
 
 std::vector<SuspicionNews> SuspicionTable::Newest(TimePoint now,
                                                   std::size_t max) const {
   std::vector<SuspicionNews> newest;
-  for (const auto* ages : {&m_convicted, &m_suspects, &m_cleared}) {
-    for (auto age = ages->rbegin(); age != ages->rend(); ++age) {
+  for (const auto* list : {&m_quarantined, &m_suspects, &m_cleared}) {
+    for (auto item = list->rbegin(); item != list->rend(); ++item) {
       if (newest.size() == max)
         return newest;
-      const Record& record = m_records.at(*age);
-      newest.push_back({*age, record.suspicion, now - record.changed_at});
+      const Record& record = m_records.at(*item);
+      newest.push_back({*item, record.suspicion, now - record.changed_at});
     }
   }
   return newest;
@@ -98,7 +99,8 @@
   return Duration(0);
 }
 
-bool SuspicionTable::IsOnParole(TimePoint now, const Record& record) const {
+bool SuspicionTable::IsQuarantineOver(TimePoint now,
+                                      const Record& record) const {
   return now - record.changed_at >= m_settings.conviction_time;
 }
 
@@ -115,36 +117,37 @@
   return &record;
 }
 
-void SuspicionTable::Put(TimePoint changed_at,
-                         Fingerprint fingerprint,
-                         const Suspicion& suspicion) {
+void SuspicionTable::StoreRecord(TimePoint changed_at,
+                                 Fingerprint fingerprint,
+                                 const Suspicion& suspicion) {
   Erase(fingerprint);
   if (m_records.size() >= m_settings.max_records)
     EvictOne();
-  std::list<Fingerprint>& ages = AgeList(suspicion.state);
-  ages.push_back(fingerprint);
-  m_records[fingerprint] = {suspicion, changed_at, std::prev(ages.end())};
+  std::list<Fingerprint>& list = ListOf(suspicion.state);
+  list.push_back(fingerprint);
+  m_records[fingerprint] = {suspicion, changed_at, std::prev(list.end())};
 }
 
 void SuspicionTable::Erase(Fingerprint fingerprint) {
   const auto found = m_records.find(fingerprint);
   if (found == m_records.end())
     return;
-  AgeList(found->second.suspicion.state).erase(found->second.age);
+  ListOf(found->second.suspicion.state).erase(found->second.position);
   m_records.erase(found);
 }
 
 void SuspicionTable::EvictOne() {
-  for (std::list<Fingerprint>* ages : {&m_cleared, &m_suspects, &m_convicted}) {
-    if (ages->empty())
+  for (std::list<Fingerprint>* list :
+       {&m_cleared, &m_suspects, &m_quarantined}) {
+    if (list->empty())
       continue;
-    const Fingerprint oldest = ages->front();
+    const Fingerprint oldest = list->front();
     Erase(oldest);
     return;
   }
 }
 
-std::list<Fingerprint>& SuspicionTable::AgeList(SuspicionState state) {
+std::list<Fingerprint>& SuspicionTable::ListOf(SuspicionState state) {
   switch (state) {
     case SuspicionState::kSuspect:
       return m_suspects;
@@ -153,7 +156,7 @@
     case SuspicionState::kConvicted:
       break;
   }
-  return m_convicted;
+  return m_quarantined;
 }
 
 }  // namespace bulrushmount
--- a/source/core/quarantine/suspicion_table.h
+++ b/source/core/quarantine/suspicion_table.h
@@ -1,5 +1,6 @@
-// What one node knows of suspect, cleared and convicted fingerprints. Records
-// merge: whatever the order in which news arrives, all nodes end with the same.
+// The suspect, cleared and quarantined fingerprints that one node knows of.
+// Records are merged by an order on their contents, so all nodes converge to
+// the same state whatever the order in which news arrives.
 
 #ifndef BULRUSHMOUNT_CORE_QUARANTINE_SUSPICION_TABLE_H_
 #define BULRUSHMOUNT_CORE_QUARANTINE_SUSPICION_TABLE_H_
@@ -19,15 +20,16 @@
 
 enum class Verdict : std::uint8_t { kClear, kSuspect, kConvicted };
 
-// The numbers travel, and their order decides within one generation.
+// The values are sent in datagrams. Within one generation the higher value
+// overrides the lower one.
 enum class SuspicionState : std::uint8_t {
   kSuspect = 1,
   kCleared = 2,
   kConvicted = 3,
 };
 
-// Rises each time that a cleared fingerprint becomes suspect again, so that
-// old news of a suspicion cannot undo a clearance.
+// Increases each time a cleared fingerprint becomes suspect again, so that old
+// news of a suspicion cannot undo a clearance.
 using Generation = StrongType<struct GenerationTag, std::uint32_t>;
 
 struct Suspicion {
@@ -37,18 +39,18 @@
   friend bool operator==(const Suspicion&, const Suspicion&) = default;
 };
 
-// Whether `told` overrides `known`.
-inline bool IsLater(const Suspicion& told, const Suspicion& known) {
-  if (told.generation != known.generation)
-    return told.generation > known.generation;
-  return told.state > known.state;
+// Returns whether `received` overrides `known`.
+inline bool Overrides(const Suspicion& received, const Suspicion& known) {
+  if (received.generation != known.generation)
+    return received.generation > known.generation;
+  return received.state > known.state;
 }
 
 struct SuspicionNews {
   Fingerprint fingerprint;
   Suspicion suspicion;
-  // How long it has been so; else it would start anew with each node it is
-  // told to, and never end.
+  // Time since the state was set. Without it every node would restart the
+  // lifetime of a record that it receives, and the record would never expire.
   Duration age{};
 };
 
@@ -56,18 +58,20 @@
  public:
   explicit SuspicionTable(const QuarantineSettings& settings);
 
-  Verdict Judge(TimePoint now, Fingerprint fingerprint);
+  Verdict VerdictOf(TimePoint now, Fingerprint fingerprint);
 
-  // What is known of it, if anything.
+  // Returns the record of the fingerprint, if there is one.
   std::optional<SuspicionNews> Find(TimePoint now, Fingerprint fingerprint);
 
-  // Something happened that makes it `state`.
-  void Note(TimePoint now, Fingerprint fingerprint, SuspicionState state);
+  // Records that an event on this node puts the fingerprint into `state`.
+  void SetState(TimePoint now, Fingerprint fingerprint, SuspicionState state);
 
-  // What another node says. True if it was news.
-  bool Merge(TimePoint now, const SuspicionNews& told);
+  // Merges a record received from another node. Returns whether it changed the
+  // table.
+  bool Merge(TimePoint now, const SuspicionNews& received);
 
-  // The newest records, convicted ones first.
+  // Returns up to `max` records, quarantined ones first, then suspects, then
+  // cleared ones; the newest first within each.
   std::vector<SuspicionNews> Newest(TimePoint now, std::size_t max) const;
 
   std::size_t size() const { return m_records.size(); }
@@ -76,27 +80,28 @@
   struct Record {
     Suspicion suspicion;
     TimePoint changed_at;
-    std::list<Fingerprint>::iterator age;
+    std::list<Fingerprint>::iterator position;
   };
 
   Duration LifetimeOf(SuspicionState state) const;
-  // A convicted fingerprint is suspect again after its time.
-  bool IsOnParole(TimePoint now, const Record& record) const;
+  // Returns whether the quarantine time has passed; the fingerprint is then
+  // suspect.
+  bool IsQuarantineOver(TimePoint now, const Record& record) const;
   Record* FindRecord(TimePoint now, Fingerprint fingerprint);
-  void Put(TimePoint changed_at,
-           Fingerprint fingerprint,
-           const Suspicion& suspicion);
+  void StoreRecord(TimePoint changed_at,
+                   Fingerprint fingerprint,
+                   const Suspicion& suspicion);
   void Erase(Fingerprint fingerprint);
   void EvictOne();
-  std::list<Fingerprint>& AgeList(SuspicionState state);
+  std::list<Fingerprint>& ListOf(SuspicionState state);
 
   QuarantineSettings m_settings;
   std::unordered_map<Fingerprint, Record> m_records;
-  // Longest known first, one for each state. A full table forgets cleared ones
-  // first, then suspects, then convicted ones.
+  // Fingerprints by state, ordered from the longest known. A full table evicts
+  // cleared ones first, then suspects, then quarantined ones.
   std::list<Fingerprint> m_cleared;
   std::list<Fingerprint> m_suspects;
-  std::list<Fingerprint> m_convicted;
+  std::list<Fingerprint> m_quarantined;
 };
 
 }  // namespace bulrushmount
--- a/source/unit_tests/core/quarantine/permit_home_test.cc
+++ b/source/unit_tests/core/quarantine/permit_home_test.cc
@@ -11,7 +11,7 @@
 
 constexpr TimePoint kStart{std::chrono::hours(1)};
 
-enum class Verb : std::uint8_t { kAsk, kRenew, kReturn };
+enum class Action : std::uint8_t { kAsk, kRenew, kReturn };
 
 struct Message {
   // Seconds since the start.
@@ -19,7 +19,7 @@
   std::uint64_t entry;
   std::uint64_t permit;
   std::uint64_t ask;
-  Verb verb;
+  Action action;
   bool expected;
   bool is_settled = true;
 };
@@ -38,8 +38,8 @@
     ask.fingerprint = Fingerprint(7);
     ask.permit = PermitNumber(message.permit);
     ask.ask = PermitAskNumber(message.ask);
-    ask.is_renewal = message.verb == Verb::kRenew;
-    ask.is_return = message.verb == Verb::kReturn;
+    ask.is_renewal = message.action == Action::kRenew;
+    ask.is_return = message.action == Action::kReturn;
     EXPECT_EQ(home.OnAsk(kStart + FromSeconds(message.at),
                          NodeId(message.entry), ask, message.is_settled),
               message.expected)
@@ -51,42 +51,42 @@
     Cases,
     PermitHomeTest,
     testing::Values(HomeCase{"SecondWaitsForReturn",
-                             {{0, 1, 1, 1, Verb::kAsk, true},
-                              {1, 2, 1, 1, Verb::kAsk, false},
-                              {2, 1, 1, 2, Verb::kReturn, false},
-                              {2, 2, 2, 2, Verb::kAsk, true}}},
+                             {{0, 1, 1, 1, Action::kAsk, true},
+                              {1, 2, 1, 1, Action::kAsk, false},
+                              {2, 1, 1, 2, Action::kReturn, false},
+                              {2, 2, 2, 2, Action::kAsk, true}}},
                     HomeCase{"SecondWaitsForTermAndMargin",
-                             {{0, 1, 1, 1, Verb::kAsk, true},
-                              {6.4, 2, 1, 1, Verb::kAsk, false},
-                              {6.6, 2, 1, 2, Verb::kAsk, true},
-                              {7, 1, 1, 2, Verb::kRenew, false}}},
+                             {{0, 1, 1, 1, Action::kAsk, true},
+                              {6.4, 2, 1, 1, Action::kAsk, false},
+                              {6.6, 2, 1, 2, Action::kAsk, true},
+                              {7, 1, 1, 2, Action::kRenew, false}}},
                     HomeCase{"RenewalExtends",
-                             {{0, 1, 1, 1, Verb::kAsk, true},
-                              {4, 1, 1, 2, Verb::kRenew, true},
-                              {8, 2, 1, 1, Verb::kAsk, false},
-                              {10.6, 2, 1, 2, Verb::kAsk, true}}},
+                             {{0, 1, 1, 1, Action::kAsk, true},
+                              {4, 1, 1, 2, Action::kRenew, true},
+                              {8, 2, 1, 1, Action::kAsk, false},
+                              {10.6, 2, 1, 2, Action::kAsk, true}}},
                     HomeCase{"RepeatDoesNotExtend",
-                             {{0, 1, 1, 1, Verb::kAsk, true},
-                              {5, 1, 1, 1, Verb::kAsk, true},
-                              {6.6, 2, 1, 1, Verb::kAsk, true}}},
+                             {{0, 1, 1, 1, Action::kAsk, true},
+                              {5, 1, 1, 1, Action::kAsk, true},
+                              {6.6, 2, 1, 1, Action::kAsk, true}}},
                     HomeCase{"AskThatArrivesAfterItsReturnGetsNothing",
-                             {{0, 1, 1, 2, Verb::kReturn, false},
-                              {1, 1, 2, 3, Verb::kAsk, true},
-                              {2, 1, 2, 5, Verb::kReturn, false},
-                              {2, 1, 2, 4, Verb::kRenew, false},
-                              {2, 1, 2, 6, Verb::kRenew, false},
-                              {2, 2, 1, 1, Verb::kAsk, true}}},
+                             {{0, 1, 1, 2, Action::kReturn, false},
+                              {1, 1, 2, 3, Action::kAsk, true},
+                              {2, 1, 2, 5, Action::kReturn, false},
+                              {2, 1, 2, 4, Action::kRenew, false},
+                              {2, 1, 2, 6, Action::kRenew, false},
+                              {2, 2, 1, 1, Action::kAsk, true}}},
                     HomeCase{"LaterPermitOfTheSameEntryEndsTheEarlier",
-                             {{0, 1, 1, 1, Verb::kAsk, true},
-                              {1, 1, 2, 2, Verb::kAsk, true},
-                              {2, 1, 1, 3, Verb::kReturn, false},
-                              {3, 2, 1, 1, Verb::kAsk, false}}},
+                             {{0, 1, 1, 1, Action::kAsk, true},
+                              {1, 1, 2, 2, Action::kAsk, true},
+                              {2, 1, 1, 3, Action::kReturn, false},
+                              {3, 2, 1, 1, Action::kAsk, false}}},
                     HomeCase{"UnsettledHomeTakesOverPermitsButGrantsNone",
-                             {{0, 2, 1, 1, Verb::kAsk, false, false},
-                              {1, 1, 1, 1, Verb::kRenew, true, false},
-                              {2, 2, 1, 2, Verb::kAsk, false, false},
-                              {7, 2, 1, 3, Verb::kAsk, false},
-                              {8, 2, 1, 4, Verb::kAsk, true}}}),
+                             {{0, 2, 1, 1, Action::kAsk, false, false},
+                              {1, 1, 1, 1, Action::kRenew, true, false},
+                              {2, 2, 1, 2, Action::kAsk, false, false},
+                              {7, 2, 1, 3, Action::kAsk, false},
+                              {8, 2, 1, 4, Action::kAsk, true}}}),
     [](const auto& test) { return test.param.name; });
 
 TEST(PermitHomeSizeTest, IsBounded) {
--- a/source/unit_tests/core/quarantine/quarantine_fleet.h
+++ b/source/unit_tests/core/quarantine/quarantine_fleet.h
@@ -1,6 +1,7 @@
-// Several Quarantines, each beside a target, joined by a DatagramNetwork and a
-// lossy broadcast, in virtual time. Calls go the way that node_logic sends
-// them: check, permit, owner, target. It counts what must not happen.
+// Several Quarantines, each beside a simulated target, connected by a
+// DatagramNetwork and a lossy broadcast in virtual time. Calls take the same
+// steps as in node_logic: check, permit, owner, target. The fleet counts
+// violations of the quarantine rules.
 
 #ifndef BULRUSHMOUNT_UNIT_TESTS_CORE_QUARANTINE_QUARANTINE_FLEET_H_
 #define BULRUSHMOUNT_UNIT_TESTS_CORE_QUARANTINE_QUARANTINE_FLEET_H_
@@ -24,7 +25,7 @@
  public:
   static constexpr Duration kStep = std::chrono::milliseconds(1);
 
-  // Calls by how they ended.
+  // Number of calls by how they ended.
   struct Counts {
     int finished = 0;
     int crashed = 0;
@@ -35,10 +36,10 @@
       : m_random(seed),
         m_network(nodes, seed + 1),
         m_alive(nodes, true),
-        m_boots(nodes, 0) {
+        m_restarts(nodes, 0) {
     for (std::size_t index = 0; index < nodes; ++index) {
       m_nodes.push_back(std::make_unique<Node>(*this, index));
-      Boot(index);
+      StartNode(index);
     }
     PublishMembers();
   }
@@ -50,10 +51,12 @@
   std::size_t size() const { return m_nodes.size(); }
   Counts CountsOf(Fingerprint fingerprint) { return m_counts[fingerprint]; }
   std::size_t TargetsCrashed() const { return m_crashes; }
-  // Permitted runs of one fingerprint at the same time, at most; and suspects
-  // running as such on one target.
-  std::size_t WorstTogether() const { return m_worst_together; }
-  std::size_t WorstOnTarget() const { return m_worst_on_target; }
+  // Maximum number of concurrent permitted runs of one fingerprint, and of
+  // concurrent suspect runs on one target.
+  std::size_t MaxConcurrentPermittedRuns() const {
+    return m_max_permitted_runs;
+  }
+  std::size_t MaxSuspectsOnTarget() const { return m_max_suspects_on_target; }
   bool IsRunning(std::size_t index) const {
     return m_alive[index] && !m_network.IsFrozen(index);
   }
@@ -65,14 +68,16 @@
     return RendezvousHome(members, fingerprint.value())->gossip.port -
            DatagramNetwork::kFirstPort;
   }
-  // How long gossip takes to a node, at most, and how much of it is lost.
+  // Sets the maximum delay of gossip to a node and the fraction of it that is
+  // lost.
   void SetGossip(Duration delay, double loss) {
     m_gossip_delay = delay;
     m_gossip_loss = loss;
   }
 
-  // A caller's request at node `entry`, meant for the target at `owner`.
-  // `runtime`: until it finishes, or crashes the target if it is poison.
+  // Simulates a call that arrives at node `entry` and is routed to the target
+  // at `owner`. After `runtime` it finishes, or crashes the target if it is
+  // poison.
   void Call(std::size_t entry,
             std::size_t owner,
             Fingerprint fingerprint,
@@ -105,7 +110,7 @@
     }
   }
 
-  // A node with its target. The entries see their streams break.
+  // Kills a node and its target. The entries see their streams break.
   void Kill(std::size_t index) {
     m_alive[index] = false;
     for (const Run& run : TakeRuns(index)) {
@@ -115,15 +120,15 @@
     }
     NotifyEntries();
   }
-  // It ran as a suspect on a node that was killed, or on a target that it or
-  // another request crashed.
+  // Returns whether it ran as a suspect on a node that was killed, or on a
+  // target that it or another request crashed.
   bool WasLostAsSuspect(Fingerprint fingerprint) const {
     return m_lost_as_suspects.contains(fingerprint);
   }
   void Restart(std::size_t index) {
-    ++m_boots[index];
+    ++m_restarts[index];
     m_alive[index] = true;
-    Boot(index);
+    StartNode(index);
   }
 
   void PublishMembers(bool are_frozen_dead = false) {
@@ -151,7 +156,7 @@
     std::unique_ptr<Quarantine> quarantine;
   };
 
-  // A request that a target runs.
+  // A request that runs on a target.
   struct Run {
     std::size_t entry = 0;
     std::size_t owner = 0;
@@ -175,7 +180,7 @@
   };
 
   Peer PeerOf(std::size_t index) const {
-    return {NodeId((m_boots[index] << 16U) + index + 1),
+    return {NodeId((m_restarts[index] << 16U) + index + 1),
             DatagramNetwork::EndpointOf(index)};
   }
 
@@ -189,13 +194,13 @@
     return members;
   }
 
-  void Boot(std::size_t index) {
+  void StartNode(std::size_t index) {
     m_nodes[index]->quarantine = std::make_unique<Quarantine>(
         QuarantineSettings(), PeerOf(index), m_network.PortOf(index),
         *m_nodes[index], m_now);
   }
 
-  // Gossip repeats itself until it is everywhere: a lost piece comes later.
+  // Gossip is repeated until every node has it, so a lost item arrives later.
   void Gossip(std::size_t from, const std::string& payload) {
     for (std::size_t to = 0; to < size(); ++to) {
       Duration delay =
@@ -217,7 +222,7 @@
     } else if (result == PermitResult::kRefused) {
       ++m_counts[fingerprint].refused;
     } else {
-      // The entry resets the stream, and the owner closes the connection.
+      // The entry resets the stream and the owner closes the connection.
       std::erase_if(m_runs, [&](const Run& run) {
         const bool is_lost = run.is_suspect && run.entry == entry &&
                              run.fingerprint == fingerprint;
@@ -248,18 +253,20 @@
     }
     m_runs.push_back({entry, owner, fingerprint, is_suspect, PeerOf(entry).id,
                       m_now + runtime});
-    CountTogether(fingerprint, owner);
+    UpdateRunMaxima(fingerprint, owner);
   }
 
-  void CountTogether(Fingerprint fingerprint, std::size_t owner) {
-    std::size_t together = 0;
-    std::size_t on_target = 0;
+  void UpdateRunMaxima(Fingerprint fingerprint, std::size_t owner) {
+    std::size_t permitted_runs = 0;
+    std::size_t suspects_on_target = 0;
     for (const Run& run : m_runs) {
-      together += run.is_suspect && run.fingerprint == fingerprint ? 1 : 0;
-      on_target += run.is_suspect && run.owner == owner ? 1 : 0;
+      permitted_runs +=
+          run.is_suspect && run.fingerprint == fingerprint ? 1 : 0;
+      suspects_on_target += run.is_suspect && run.owner == owner ? 1 : 0;
     }
-    m_worst_together = std::max(m_worst_together, together);
-    m_worst_on_target = std::max(m_worst_on_target, on_target);
+    m_max_permitted_runs = std::max(m_max_permitted_runs, permitted_runs);
+    m_max_suspects_on_target =
+        std::max(m_max_suspects_on_target, suspects_on_target);
   }
 
   void Step() {
@@ -312,7 +319,7 @@
     }
   }
 
-  // What the target of `owner` runs, taken off it.
+  // Removes and returns the runs on the target of `owner`.
   std::vector<Run> TakeRuns(std::size_t owner) {
     const auto others = std::stable_partition(
         m_runs.begin(), m_runs.end(),
@@ -339,8 +346,8 @@
     NotifyEntries();
   }
 
-  // A frozen entry reads its streams when it goes on; one that was replaced or
-  // is cut off hears nothing.
+  // A frozen entry reads its streams when it resumes. One that was restarted or
+  // is disconnected gets no notification.
   void NotifyEntries() {
     std::vector<EndedRun> waiting;
     for (const EndedRun& ended : std::exchange(m_ends, {})) {
@@ -371,7 +378,7 @@
   SeededRandomSource m_random;
   DatagramNetwork m_network;
   std::vector<bool> m_alive;
-  std::vector<std::uint64_t> m_boots;
+  std::vector<std::uint64_t> m_restarts;
   std::vector<std::unique_ptr<Node>> m_nodes;
   std::set<Fingerprint> m_poison;
   std::vector<Run> m_runs;
@@ -382,8 +389,8 @@
   double m_gossip_loss = 0;
   std::map<Fingerprint, Counts> m_counts;
   std::size_t m_crashes = 0;
-  std::size_t m_worst_together = 0;
-  std::size_t m_worst_on_target = 0;
+  std::size_t m_max_permitted_runs = 0;
+  std::size_t m_max_suspects_on_target = 0;
 };
 
 }  // namespace bulrushmount
--- a/source/unit_tests/core/quarantine/quarantine_property_test.cc
+++ b/source/unit_tests/core/quarantine/quarantine_property_test.cc
@@ -1,6 +1,7 @@
-// Differential test of the quarantine: the naive version is one process with
+// Differential test of the quarantine against a reference with one process and
 // one map, in which a poison request crashes one target for each copy that was
-// in flight, and one more. Lost messages may add only what the bound says.
+// in flight at its first crash, and one more. Lost messages may add crashes
+// only up to the bound.
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -46,11 +47,12 @@
 }
 
 const Fingerprint kPoison{13};
-const Fingerprint kInnocent{21};
+const Fingerprint kHarmless{21};
 
-// The naive version, told only what was sent when: copies of the poison that
-// set out before anybody could know of the first crash.
-class NaiveBound {
+// The reference. It is told only what was sent when, and counts the copies of
+// the poison request that were sent before any node could know of the first
+// crash.
+class ReferenceBound {
  public:
   void OnCall(TimePoint now) {
     if (!m_first_crash || now <= *m_first_crash + 3 * kSpread)
@@ -85,9 +87,9 @@
   }
 }
 
-void PlaySteps(QuarantineFleet& fleet,
-               NaiveBound& naive,
-               const std::vector<Step>& steps) {
+void RunSteps(QuarantineFleet& fleet,
+              ReferenceBound& reference,
+              const std::vector<Step>& steps) {
   fleet.AddPoison(kPoison);
   fleet.SetGossip(kSpread, 0.1);
   fleet.Advance(std::chrono::seconds(7));
@@ -96,54 +98,54 @@
   for (const Step& step : steps) {
     Apply(fleet, step);
     if (step.is_poison)
-      naive.OnCall(fleet.now());
-    fleet.Call(step.node, step.owner, step.is_poison ? kPoison : kInnocent,
+      reference.OnCall(fleet.now());
+    fleet.Call(step.node, step.owner, step.is_poison ? kPoison : kHarmless,
                std::chrono::milliseconds(step.runtime_ms));
     for (std::int64_t waited = 0; waited < step.wait_ms; waited += 50) {
       fleet.Advance(std::chrono::milliseconds(50));
       if (fleet.TargetsCrashed() > 0)
-        naive.OnCrash(fleet.now());
+        reference.OnCrash(fleet.now());
     }
   }
   fleet.Advance(std::chrono::seconds(10));
 }
 
-// Symptom: a suspect runs twice at once, or takes down more targets than the
-// copies in flight at its first crash and one more; or an innocent stays
-// refused.
-// Sequence: any order of calls, deaths and freezes below a permit's term, with
-// lost, repeated and overtaken datagrams and late gossip.
-// Cause: permits that two homes grant, or news that an older piece undoes.
+// Guards against a suspect that runs twice at once, a poison request that
+// crashes more targets than the copies in flight at its first crash and one
+// more, and a harmless request that stays refused. The steps are any order of
+// calls, deaths and freezes shorter than the term of a permit, with lost,
+// repeated and reordered datagrams and late gossip. Such failures arise if two
+// homes grant a permit or if older news overrides newer.
 RC_GTEST_PROP(QuarantineFleetTest, HoldsItsBounds, ()) {
   const auto seed = *rc::gen::arbitrary<std::uint64_t>();
   const auto steps = *rc::gen::container<std::vector<Step>>(12, AnyStep());
   QuarantineFleet fleet(kNodes, seed);
-  NaiveBound naive;
-  PlaySteps(fleet, naive, steps);
-  RC_ASSERT(fleet.WorstTogether() <= 1U);
-  RC_ASSERT(fleet.WorstOnTarget() <= 1U);
-  RC_ASSERT(fleet.TargetsCrashed() <= naive.CrashesAtMost());
-
-  // With the faults over, one more run clears the innocent everywhere, unless
-  // it was convicted: its target went down, for whatever reason, while it was
-  // the suspect there.
-  if (fleet.WasLostAsSuspect(kInnocent))
+  ReferenceBound reference;
+  RunSteps(fleet, reference, steps);
+  RC_ASSERT(fleet.MaxConcurrentPermittedRuns() <= 1U);
+  RC_ASSERT(fleet.MaxSuspectsOnTarget() <= 1U);
+  RC_ASSERT(fleet.TargetsCrashed() <= reference.CrashesAtMost());
+
+  // After the faults end, one more run clears the harmless request on all
+  // nodes, unless it was quarantined because its target was lost, for any
+  // reason, while it ran there as a suspect.
+  if (fleet.WasLostAsSuspect(kHarmless))
     return;
   fleet.network().SetFaults(NetworkFaults());
   fleet.Advance(std::chrono::seconds(10));
-  fleet.Call(0, 1, kInnocent, std::chrono::milliseconds(10));
+  fleet.Call(0, 1, kHarmless, std::chrono::milliseconds(10));
   fleet.Advance(std::chrono::seconds(3));
-  fleet.Call(1, 1, kInnocent, std::chrono::milliseconds(10));
+  fleet.Call(1, 1, kHarmless, std::chrono::milliseconds(10));
   fleet.Advance(std::chrono::seconds(3));
   for (std::size_t index = 0; index < kNodes; ++index)
-    RC_ASSERT(fleet.node(index).Check(fleet.now(), kInnocent) ==
+    RC_ASSERT(fleet.node(index).Check(fleet.now(), kHarmless) ==
               Verdict::kClear);
 }
 
-// Symptom: one target is taken down twice by the same request. Sequence: as a
-// random seed of the property above found and shrank it: two copies of the
-// poison nine seconds apart on one target, innocents between them, a fifth of
-// all datagrams lost. Cause: not known yet.
+// Guards against a request that crashes the same target twice. The steps are a
+// shrunk failure of the property above: two copies of the poison request nine
+// seconds apart on one target, harmless requests between them, and a fifth of
+// all datagrams lost. The cause is not known yet.
 TEST(QuarantineFleetRegression, APoisonTakesOneTargetDownOnce) {
   const auto step = [](std::size_t node, bool is_poison, std::int64_t runs,
                        std::int64_t wait) {
@@ -158,9 +160,9 @@
       step(0, false, 1, 4000),    step(0, false, 1, 1)};
   constexpr std::uint64_t found_seed = 16;
   QuarantineFleet fleet(kNodes, found_seed);
-  NaiveBound naive;
-  PlaySteps(fleet, naive, steps);
-  EXPECT_LE(fleet.WorstOnTarget(), 1U);
+  ReferenceBound reference;
+  RunSteps(fleet, reference, steps);
+  EXPECT_LE(fleet.MaxSuspectsOnTarget(), 1U);
 }
 
 }  // namespace
--- a/source/unit_tests/core/quarantine/quarantine_test.cc
+++ b/source/unit_tests/core/quarantine/quarantine_test.cc
@@ -1,4 +1,4 @@
-// Tests of `core/quarantine/quarantine.h` over a few joined nodes.
+// Tests of `core/quarantine/quarantine.h` with a few connected nodes.
 
 #include <gtest/gtest.h>
 
@@ -13,18 +13,19 @@
 
 constexpr std::size_t kNodes = 8;
 const Fingerprint kPoison{13};
-const Fingerprint kInnocent{21};
+const Fingerprint kHarmless{21};
 
 class QuarantineTest : public testing::Test {
  protected:
   QuarantineTest() : m_fleet(kNodes, 1) {
     m_fleet.AddPoison(kPoison);
-    // Past the wait of new homes.
+    // Past the time in which new homes do not grant permits.
     m_fleet.Advance(7s);
   }
 
   // A node that is not the home of `fingerprint`.
-  std::size_t Away(Fingerprint fingerprint, std::size_t skip = 0) const {
+  std::size_t EntryAwayFromHome(Fingerprint fingerprint,
+                                std::size_t skip = 0) const {
     const std::size_t home = m_fleet.HomeOf(fingerprint);
     return (home + 1 + skip) % kNodes;
   }
@@ -32,10 +33,8 @@
   QuarantineFleet m_fleet;
 };
 
-// Symptom: one request takes down target after target.
-// Sequence: it crashes its target, and its caller sends it again and again,
-// through other entries.
-// Cause: nobody remembers the request between its runs.
+// Guards against one request that crashes target after target: its caller
+// repeats it through other entries, and no node has recorded the earlier crash.
 TEST_F(QuarantineTest, ARepeatedPoisonCrashesTwoTargets) {
   for (std::size_t attempt = 0; attempt < 40; ++attempt) {
     m_fleet.Call(attempt % kNodes, (3 * attempt) % kNodes, kPoison, 10ms);
@@ -45,13 +44,12 @@
   EXPECT_EQ(m_fleet.CountsOf(kPoison).refused, 38);
 }
 
-// Symptom: the same, with the caller's second send within milliseconds.
-// Sequence: the entry hears of the crash by the failed call, and sends the
-// request again before any gossip has come.
-// Cause: suspicion that travels by gossip only.
-TEST_F(QuarantineTest, TheEntryKnowsByTheFailedCall) {
+// Guards against a second crash when the caller repeats the request within
+// milliseconds: the entry knows of the crash from the failed call, before any
+// gossip arrives. Suspicion that spreads only by gossip is too late.
+TEST_F(QuarantineTest, TheEntryLearnsFromTheFailedCall) {
   m_fleet.SetGossip(10s, 0);
-  const std::size_t entry = Away(kPoison);
+  const std::size_t entry = EntryAwayFromHome(kPoison);
   for (std::size_t attempt = 0; attempt < 20; ++attempt) {
     const std::size_t owner = (entry + 1 + attempt % (kNodes - 1)) % kNodes;
     m_fleet.Call(entry, owner, kPoison, 5ms);
@@ -60,11 +58,10 @@
   EXPECT_EQ(m_fleet.TargetsCrashed(), 2U);
 }
 
-// Symptom: while the news spreads, each entry crashes a target of its own.
-// Sequence: after a crash at one target, entries that have not heard send the
-// request to that same target again.
-// Cause: only entries check.
-TEST_F(QuarantineTest, TheOwnerRefusesWhatTheEntryHasNotHeardOf) {
+// Guards against each entry crashing the target once while the news spreads:
+// entries that have not received it send the request to the same target again.
+// A check at the entries alone does not stop that.
+TEST_F(QuarantineTest, TheOwnerRefusesASuspectUnknownToTheEntry) {
   m_fleet.SetGossip(10s, 0);
   m_fleet.Call(1, 0, kPoison, 5ms);
   m_fleet.Advance(20ms);
@@ -75,60 +72,58 @@
   EXPECT_EQ(m_fleet.CountsOf(kPoison).refused, static_cast<int>(kNodes) - 2);
 }
 
-TEST_F(QuarantineTest, TheOwnerTellsASuspectFromAConvict) {
+TEST_F(QuarantineTest, TheOwnerDistinguishesSuspectFromQuarantined) {
   Quarantine& owner = m_fleet.node(0);
   const TimePoint now = m_fleet.now();
-  owner.OnTargetCrashed(now, {{kInnocent, false}, {kPoison, true}});
+  owner.OnTargetCrashed(now, {{kHarmless, false}, {kPoison, true}});
   EXPECT_EQ(owner.AdmitWork(now, kPoison, false), Reason::kQuarantined);
   EXPECT_EQ(owner.AdmitWork(now, kPoison, true), Reason::kQuarantined);
-  EXPECT_EQ(owner.AdmitWork(now, kInnocent, false), Reason::kSuspect);
-  EXPECT_EQ(owner.AdmitWork(now, kInnocent, true), Reason::kNone);
-  EXPECT_EQ(owner.AdmitWork(now, kInnocent, true), Reason::kSuspect);
+  EXPECT_EQ(owner.AdmitWork(now, kHarmless, false), Reason::kSuspect);
+  EXPECT_EQ(owner.AdmitWork(now, kHarmless, true), Reason::kNone);
+  EXPECT_EQ(owner.AdmitWork(now, kHarmless, true), Reason::kSuspect);
 }
 
-// Symptom: a request that was cleared is convicted, and refused everywhere.
-// Sequence: its clearance does not reach one entry, which sends it with a
-// permit; a poison request is admitted beside it and takes the target down; the
-// entry convicts both. Cause: the owner, which knows of the clearance, takes
-// the one that runs for no suspect.
+// Guards against quarantining a request that was cleared: its clearance does
+// not reach one entry, which sends it with a permit; a poison request is
+// admitted beside it and crashes the target, and the entry quarantines both.
+// This happens if the owner, which has the clearance, does not count the
+// running request as a suspect.
 TEST_F(QuarantineTest, TheOwnerRunsOnePermitAtATimeWhateverItKnows) {
   Quarantine& owner = m_fleet.node(0);
   const TimePoint now = m_fleet.now();
-  owner.OnTargetLost(now, kInnocent);
-  owner.EndPermit(now, kInnocent, PermitEnd::kFinished);
-  ASSERT_EQ(owner.Check(now, kInnocent), Verdict::kClear);
-  ASSERT_EQ(owner.AdmitWork(now, kInnocent, true), Reason::kNone);
+  owner.OnTargetLost(now, kHarmless);
+  owner.EndPermit(now, kHarmless, PermitEnd::kFinished);
+  ASSERT_EQ(owner.Check(now, kHarmless), Verdict::kClear);
+  ASSERT_EQ(owner.AdmitWork(now, kHarmless, true), Reason::kNone);
   EXPECT_EQ(owner.AdmitWork(now, kPoison, true), Reason::kSuspect);
-  owner.OnWorkEnded({kInnocent, true});
+  owner.OnWorkEnded({kHarmless, true});
   EXPECT_EQ(owner.AdmitWork(now, kPoison, true), Reason::kNone);
 }
 
-// Symptom: a reader's search is refused for ever because it once ran beside a
-// poison request.
-// Sequence: both are in flight at one target when it crashes; the search is
-// sent again until it finishes.
-// Cause: a suspect that nothing clears.
-TEST_F(QuarantineTest, AnInnocentIsClearedByFinishing) {
-  m_fleet.Call(1, 0, kInnocent, 50ms);
+// Guards against refusing a harmless request forever: it is in flight beside a
+// poison request when the target crashes, and is repeated until it finishes.
+// Finishing must clear it.
+TEST_F(QuarantineTest, AHarmlessRequestIsClearedByFinishing) {
+  m_fleet.Call(1, 0, kHarmless, 50ms);
   m_fleet.Call(2, 0, kPoison, 10ms);
   m_fleet.Advance(1s);
-  ASSERT_EQ(m_fleet.node(5).Check(m_fleet.now(), kInnocent), Verdict::kSuspect);
-  m_fleet.Call(1, 3, kInnocent, 50ms);
+  ASSERT_EQ(m_fleet.node(5).Check(m_fleet.now(), kHarmless), Verdict::kSuspect);
+  m_fleet.Call(1, 3, kHarmless, 50ms);
   m_fleet.Advance(1s);
-  EXPECT_EQ(m_fleet.CountsOf(kInnocent).finished, 1);
+  EXPECT_EQ(m_fleet.CountsOf(kHarmless).finished, 1);
   for (std::size_t index = 0; index < kNodes; ++index) {
-    EXPECT_EQ(m_fleet.node(index).Check(m_fleet.now(), kInnocent),
+    EXPECT_EQ(m_fleet.node(index).Check(m_fleet.now(), kHarmless),
               Verdict::kClear);
   }
   for (std::size_t entry = 0; entry < kNodes; ++entry)
-    m_fleet.Call(entry, entry, kInnocent, 50ms);
+    m_fleet.Call(entry, entry, kHarmless, 50ms);
   m_fleet.Advance(1s);
-  EXPECT_EQ(m_fleet.CountsOf(kInnocent).finished, 1 + static_cast<int>(kNodes));
+  EXPECT_EQ(m_fleet.CountsOf(kHarmless).finished, 1 + static_cast<int>(kNodes));
 }
 
-// Symptom: a suspect runs on two targets at once and crashes both.
-// Sequence: several entries send it in the same millisecond.
-// Cause: each entry decides by itself.
+// Guards against a suspect that runs on two targets at once and crashes both:
+// several entries send it in the same millisecond. This happens if each entry
+// decides on its own.
 TEST_F(QuarantineTest, OfRacingEntriesOneGetsThePermit) {
   m_fleet.Call(1, 0, kPoison, 5ms);
   m_fleet.Advance(1s);
@@ -136,14 +131,14 @@
     m_fleet.Call(entry, entry, kPoison, 20ms);
   m_fleet.Advance(1s);
   EXPECT_EQ(m_fleet.TargetsCrashed(), 2U);
-  EXPECT_EQ(m_fleet.WorstTogether(), 1U);
+  EXPECT_EQ(m_fleet.MaxConcurrentPermittedRuns(), 1U);
 }
 
-// Symptom: a convicted request crashes one more target after each restart.
-// Sequence: a node is replaced, and its fresh process gets the request as entry
-// and as owner.
-// Cause: news that only those hear who are there when it spreads.
-TEST_F(QuarantineTest, ANewNodeLearnsOfConvictions) {
+// Guards against a quarantined request that crashes one more target after each
+// restart: the new process of a replaced node gets the request as entry and as
+// owner. This happens if news reaches only the nodes that are present while it
+// spreads.
+TEST_F(QuarantineTest, ANewNodeLearnsOfQuarantinedRequests) {
   for (int attempt = 0; attempt < 3; ++attempt) {
     m_fleet.Call(1, 2, kPoison, 5ms);
     m_fleet.Advance(1s);
@@ -159,94 +154,93 @@
 }
 
 TEST_F(QuarantineTest, TwoSuspectsDoNotShareATarget) {
-  m_fleet.Call(1, 0, kInnocent, 50ms);
+  m_fleet.Call(1, 0, kHarmless, 50ms);
   m_fleet.Call(2, 0, kPoison, 10ms);
   m_fleet.Advance(1s);
-  m_fleet.Call(1, 4, kInnocent, 300ms);
+  m_fleet.Call(1, 4, kHarmless, 300ms);
   m_fleet.Advance(50ms);
   m_fleet.Call(2, 4, kPoison, 50ms);
   m_fleet.Advance(50ms);
   EXPECT_EQ(m_fleet.CountsOf(kPoison).refused, 1);
   m_fleet.Advance(1s);
-  EXPECT_EQ(m_fleet.CountsOf(kInnocent).finished, 1);
-  EXPECT_EQ(m_fleet.WorstOnTarget(), 1U);
+  EXPECT_EQ(m_fleet.CountsOf(kHarmless).finished, 1);
+  EXPECT_EQ(m_fleet.MaxSuspectsOnTarget(), 1U);
 }
 
-// Symptom: a call hangs while its permit is waited for.
-// Sequence: the home of the suspect is dead and not yet declared so.
-// Cause: an ask without a time-out.
-TEST_F(QuarantineTest, ASilentHomeMeansARefusalWithinTheTimeout) {
-  m_fleet.Call(Away(kPoison), 0, kPoison, 5ms);
+// Guards against a call that hangs while it waits for its permit: the home of
+// the suspect is dead but not yet declared dead, and the ask has no timeout.
+TEST_F(QuarantineTest, ASilentHomeCausesARefusalWithinTheTimeout) {
+  m_fleet.Call(EntryAwayFromHome(kPoison), 0, kPoison, 5ms);
   m_fleet.Advance(1s);
   m_fleet.Kill(m_fleet.HomeOf(kPoison));
-  const std::size_t entry = Away(kPoison, 1);
+  const std::size_t entry = EntryAwayFromHome(kPoison, 1);
   m_fleet.Call(entry, entry, kPoison, 5ms);
   m_fleet.Advance(QuarantineSettings().permit_timeout + 2ms);
   EXPECT_EQ(m_fleet.CountsOf(kPoison).refused, 1);
 }
 
-// Symptom: two targets run a suspect at once after its home died.
-// Sequence: an entry runs it under a permit; the home dies; another entry asks
-// the new home, which knows of no permit.
-// Cause: a new home that grants before the old permits are void.
+// Guards against two concurrent runs of a suspect after its home died: an entry
+// runs it under a permit, the home dies, and another entry asks the new home,
+// which does not know the permit. A new home must not grant before the old
+// permits have expired.
 TEST_F(QuarantineTest, ANewHomeTakesOverThePermitInUse) {
-  m_fleet.Call(Away(kInnocent), 0, kInnocent, 50ms);
-  m_fleet.Call(Away(kInnocent), 0, kPoison, 10ms);
+  m_fleet.Call(EntryAwayFromHome(kHarmless), 0, kHarmless, 50ms);
+  m_fleet.Call(EntryAwayFromHome(kHarmless), 0, kPoison, 10ms);
   m_fleet.Advance(1s);
-  const std::size_t home = m_fleet.HomeOf(kInnocent);
-  const std::size_t entry = Away(kInnocent);
-  const std::size_t other = Away(kInnocent, 1);
-  m_fleet.Call(entry, entry, kInnocent, 20s);
+  const std::size_t home = m_fleet.HomeOf(kHarmless);
+  const std::size_t entry = EntryAwayFromHome(kHarmless);
+  const std::size_t other = EntryAwayFromHome(kHarmless, 1);
+  m_fleet.Call(entry, entry, kHarmless, 20s);
   m_fleet.Advance(100ms);
   m_fleet.Kill(home);
   m_fleet.Advance(2s);
   m_fleet.PublishMembers();
   for (int attempt = 0; attempt < 30; ++attempt) {
-    m_fleet.Call(other, other, kInnocent, 50ms);
+    m_fleet.Call(other, other, kHarmless, 50ms);
     m_fleet.Advance(500ms);
   }
-  EXPECT_EQ(m_fleet.WorstTogether(), 1U);
+  EXPECT_EQ(m_fleet.MaxConcurrentPermittedRuns(), 1U);
   m_fleet.Advance(5s);
-  EXPECT_EQ(m_fleet.CountsOf(kInnocent).finished, 1);
+  EXPECT_EQ(m_fleet.CountsOf(kHarmless).finished, 1);
 }
 
-// Symptom: the same after the home was stopped for some seconds.
-// Sequence: the home is frozen, a second one stands in and grants a permit;
-// the first goes on, the members see it again and ask it.
-// Cause: a home that does not notice that it was stopped.
+// Guards against two concurrent runs after the home was paused for some
+// seconds: the home is frozen and another one replaces it and grants a permit;
+// the first resumes, and the members ask it again. A home must detect that it
+// was paused.
 TEST_F(QuarantineTest, AHomeThatWasFrozenGrantsNothingAtFirst) {
-  m_fleet.Call(Away(kInnocent), 0, kInnocent, 50ms);
-  m_fleet.Call(Away(kInnocent), 0, kPoison, 10ms);
+  m_fleet.Call(EntryAwayFromHome(kHarmless), 0, kHarmless, 50ms);
+  m_fleet.Call(EntryAwayFromHome(kHarmless), 0, kPoison, 10ms);
   m_fleet.Advance(1s);
-  const std::size_t home = m_fleet.HomeOf(kInnocent);
+  const std::size_t home = m_fleet.HomeOf(kHarmless);
   m_fleet.network().SetFrozen(home, true);
   m_fleet.Advance(2s);
   m_fleet.PublishMembers(true);
   m_fleet.Advance(7s);
-  const std::size_t entry = Away(kInnocent);
-  const std::size_t other = Away(kInnocent, 1);
-  m_fleet.Call(entry, entry, kInnocent, 4s);
+  const std::size_t entry = EntryAwayFromHome(kHarmless);
+  const std::size_t other = EntryAwayFromHome(kHarmless, 1);
+  m_fleet.Call(entry, entry, kHarmless, 4s);
   m_fleet.Advance(100ms);
-  ASSERT_GT(m_fleet.node(entry).PermitTimeLeft(m_fleet.now(), kInnocent), 5s);
+  ASSERT_GT(m_fleet.node(entry).PermitTimeLeft(m_fleet.now(), kHarmless), 5s);
   m_fleet.network().SetFrozen(home, false);
   m_fleet.PublishMembers();
-  // Before the holder's renewal can reach it.
+  // Before the renewal by the holder can reach it.
   for (int attempt = 0; attempt < 8; ++attempt) {
-    m_fleet.Call(other, other, kInnocent, 50ms);
+    m_fleet.Call(other, other, kHarmless, 50ms);
     m_fleet.Advance(500ms);
   }
-  EXPECT_EQ(m_fleet.WorstTogether(), 1U);
-  EXPECT_EQ(m_fleet.CountsOf(kInnocent).finished, 1);
+  EXPECT_EQ(m_fleet.MaxConcurrentPermittedRuns(), 1U);
+  EXPECT_EQ(m_fleet.CountsOf(kHarmless).finished, 1);
 }
 
-// Symptom: a convicted request is tried again though it crashed as a suspect.
-// Sequence: its entry is stopped before it hears of the crash.
-// Cause: only the entry convicts.
-TEST_F(QuarantineTest, TheOwnerConvictsWithoutTheEntry) {
+// Guards against a further attempt of a request that crashed a target as a
+// suspect: its entry is paused before it learns of the crash. The owner must
+// quarantine it too.
+TEST_F(QuarantineTest, TheOwnerQuarantinesWithoutTheEntry) {
   m_fleet.Call(1, 0, kPoison, 5ms);
   m_fleet.Advance(1s);
-  const std::size_t entry = Away(kPoison);
-  m_fleet.Call(entry, Away(kPoison, 1), kPoison, 100ms);
+  const std::size_t entry = EntryAwayFromHome(kPoison);
+  m_fleet.Call(entry, EntryAwayFromHome(kPoison, 1), kPoison, 100ms);
   m_fleet.Advance(20ms);
   m_fleet.network().SetFrozen(entry, true);
   m_fleet.Advance(10s);
@@ -257,27 +251,27 @@
   }
 }
 
-// Symptom: a suspect still runs at a target though its permit went elsewhere.
-// Sequence: the entry that runs it is cut off from the home.
-// Cause: an entry that runs on without its permit renewed.
+// Guards against a run that continues although the permit was granted to
+// another entry: the entry that runs the suspect is disconnected from the home
+// and must cancel a run whose permit was not renewed.
 TEST_F(QuarantineTest, AnEntryThatIsCutOffCancelsTheRun) {
-  m_fleet.Call(Away(kInnocent), 0, kInnocent, 50ms);
-  m_fleet.Call(Away(kInnocent), 0, kPoison, 10ms);
+  m_fleet.Call(EntryAwayFromHome(kHarmless), 0, kHarmless, 50ms);
+  m_fleet.Call(EntryAwayFromHome(kHarmless), 0, kPoison, 10ms);
   m_fleet.Advance(1s);
-  const std::size_t entry = Away(kInnocent);
-  const std::size_t other = Away(kInnocent, 1);
-  m_fleet.Call(entry, entry, kInnocent, 60s);
+  const std::size_t entry = EntryAwayFromHome(kHarmless);
+  const std::size_t other = EntryAwayFromHome(kHarmless, 1);
+  m_fleet.Call(entry, entry, kHarmless, 60s);
   m_fleet.Advance(100ms);
   m_fleet.network().SetSide(entry, 1);
   for (int attempt = 0; attempt < 20; ++attempt) {
-    m_fleet.Call(other, other, kInnocent, 50ms);
+    m_fleet.Call(other, other, kHarmless, 50ms);
     m_fleet.Advance(500ms);
   }
-  EXPECT_EQ(m_fleet.WorstTogether(), 1U);
-  EXPECT_GE(m_fleet.CountsOf(kInnocent).finished, 1);
+  EXPECT_EQ(m_fleet.MaxConcurrentPermittedRuns(), 1U);
+  EXPECT_GE(m_fleet.CountsOf(kHarmless).finished, 1);
 }
 
-TEST_F(QuarantineTest, AConvictedRequestIsTriedOnceMoreAfterItsTime) {
+TEST_F(QuarantineTest, AQuarantinedRequestIsTriedOnceMoreAfterItsTime) {
   for (int attempt = 0; attempt < 3; ++attempt) {
     m_fleet.Call(1, 2, kPoison, 5ms);
     m_fleet.Advance(1s);
--- a/source/unit_tests/core/quarantine/suspicion_table_test.cc
+++ b/source/unit_tests/core/quarantine/suspicion_table_test.cc
@@ -20,21 +20,21 @@
 constexpr SuspicionState kCleared = SuspicionState::kCleared;
 constexpr SuspicionState kConvicted = SuspicionState::kConvicted;
 
-struct NoteCase {
-  std::vector<SuspicionState> notes;
+struct StateCase {
+  std::vector<SuspicionState> states;
   Duration later;
   Verdict expected;
   std::uint32_t generation;
 };
 
-class SuspicionTableTest : public testing::TestWithParam<NoteCase> {};
+class SuspicionTableTest : public testing::TestWithParam<StateCase> {};
 
-TEST_P(SuspicionTableTest, JudgesWhatWasNoted) {
+TEST_P(SuspicionTableTest, ReturnsTheVerdictForTheRecordedStates) {
   SuspicionTable table{QuarantineSettings()};
-  for (const SuspicionState state : GetParam().notes)
-    table.Note(kStart, kFingerprint, state);
+  for (const SuspicionState state : GetParam().states)
+    table.SetState(kStart, kFingerprint, state);
   const TimePoint then = kStart + GetParam().later;
-  EXPECT_EQ(table.Judge(then, kFingerprint), GetParam().expected);
+  EXPECT_EQ(table.VerdictOf(then, kFingerprint), GetParam().expected);
   const auto known = table.Find(then, kFingerprint);
   EXPECT_EQ(known ? known->suspicion.generation.value() : 0,
             GetParam().generation);
@@ -44,68 +44,67 @@
     Cases,
     SuspicionTableTest,
     testing::Values(
-        NoteCase{{}, 0s, Verdict::kClear, 0},
-        NoteCase{{kSuspect}, 0s, Verdict::kSuspect, 1},
-        NoteCase{{kSuspect, kSuspect}, 0s, Verdict::kSuspect, 1},
-        NoteCase{{kSuspect, kCleared}, 0s, Verdict::kClear, 1},
-        NoteCase{{kSuspect, kCleared, kSuspect}, 0s, Verdict::kSuspect, 2},
-        NoteCase{{kSuspect, kConvicted}, 0s, Verdict::kConvicted, 1},
-        NoteCase{{kConvicted, kSuspect}, 0s, Verdict::kConvicted, 1},
-        NoteCase{{kConvicted, kCleared}, 0s, Verdict::kConvicted, 1},
-        // Nothing lasts for ever; a convicted one is suspect for a while.
-        NoteCase{{kSuspect}, 10min, Verdict::kClear, 0},
-        NoteCase{{kConvicted}, 10min, Verdict::kSuspect, 1},
-        NoteCase{{kConvicted}, 20min, Verdict::kClear, 0}));
-
-TEST(SuspicionTableParoleTest, EndsWithTheNextRun) {
+        StateCase{{}, 0s, Verdict::kClear, 0},
+        StateCase{{kSuspect}, 0s, Verdict::kSuspect, 1},
+        StateCase{{kSuspect, kSuspect}, 0s, Verdict::kSuspect, 1},
+        StateCase{{kSuspect, kCleared}, 0s, Verdict::kClear, 1},
+        StateCase{{kSuspect, kCleared, kSuspect}, 0s, Verdict::kSuspect, 2},
+        StateCase{{kSuspect, kConvicted}, 0s, Verdict::kConvicted, 1},
+        StateCase{{kConvicted, kSuspect}, 0s, Verdict::kConvicted, 1},
+        StateCase{{kConvicted, kCleared}, 0s, Verdict::kConvicted, 1},
+        // Every record expires; a quarantined fingerprint is suspect first.
+        StateCase{{kSuspect}, 10min, Verdict::kClear, 0},
+        StateCase{{kConvicted}, 10min, Verdict::kSuspect, 1},
+        StateCase{{kConvicted}, 20min, Verdict::kClear, 0}));
+
+TEST(SuspicionTableExpiryTest, EndsWithTheNextRun) {
   SuspicionTable table{QuarantineSettings()};
-  table.Note(kStart, kFingerprint, kConvicted);
-  table.Note(kStart + 11min, kFingerprint, kConvicted);
-  EXPECT_EQ(table.Judge(kStart + 11min, kFingerprint), Verdict::kConvicted);
-  table.Note(kStart + 22min, kFingerprint, kCleared);
-  EXPECT_EQ(table.Judge(kStart + 22min, kFingerprint), Verdict::kClear);
+  table.SetState(kStart, kFingerprint, kConvicted);
+  table.SetState(kStart + 11min, kFingerprint, kConvicted);
+  EXPECT_EQ(table.VerdictOf(kStart + 11min, kFingerprint), Verdict::kConvicted);
+  table.SetState(kStart + 22min, kFingerprint, kCleared);
+  EXPECT_EQ(table.VerdictOf(kStart + 22min, kFingerprint), Verdict::kClear);
 }
 
-TEST(SuspicionTableSizeTest, ForgetsClearedThenSuspectThenConvicted) {
+TEST(SuspicionTableSizeTest, EvictsClearedThenSuspectThenQuarantined) {
   QuarantineSettings settings;
   settings.max_records = 3;
   SuspicionTable table{settings};
-  table.Note(kStart, Fingerprint(1), kConvicted);
-  table.Note(kStart, Fingerprint(2), kSuspect);
-  table.Note(kStart, Fingerprint(3), kCleared);
+  table.SetState(kStart, Fingerprint(1), kConvicted);
+  table.SetState(kStart, Fingerprint(2), kSuspect);
+  table.SetState(kStart, Fingerprint(3), kCleared);
   for (std::uint64_t flood = 10; flood < 1000; ++flood) {
-    table.Note(kStart, Fingerprint(flood), kSuspect);
+    table.SetState(kStart, Fingerprint(flood), kSuspect);
     EXPECT_EQ(table.size(), 3U);
   }
-  EXPECT_EQ(table.Judge(kStart, Fingerprint(1)), Verdict::kConvicted);
-  EXPECT_EQ(table.Judge(kStart, Fingerprint(2)), Verdict::kClear);
-  EXPECT_EQ(table.Judge(kStart, Fingerprint(999)), Verdict::kSuspect);
+  EXPECT_EQ(table.VerdictOf(kStart, Fingerprint(1)), Verdict::kConvicted);
+  EXPECT_EQ(table.VerdictOf(kStart, Fingerprint(2)), Verdict::kClear);
+  EXPECT_EQ(table.VerdictOf(kStart, Fingerprint(999)), Verdict::kSuspect);
 }
 
-// Symptom: an innocent stays convicted for ever.
-// Sequence: each node that joins is told of the conviction by one that joined
-// before it.
-// Cause: a time that starts anew at each telling.
-TEST(SuspicionTableAgeTest, TellingDoesNotMakeItYounger) {
+// Guards against a harmless request that stays quarantined forever: each node
+// that joins receives the record from one that joined before it, and a lifetime
+// that restarts at each transfer never ends.
+TEST(SuspicionTableAgeTest, ForwardingDoesNotRestartTheLifetime) {
   TimePoint now = kStart;
-  std::vector<SuspicionNews> told = {
+  std::vector<SuspicionNews> received = {
       {kFingerprint, {Generation(1), kConvicted}, Duration(0)}};
-  for (int node = 0; node < 30 && !told.empty(); ++node) {
+  for (int node = 0; node < 30 && !received.empty(); ++node) {
     SuspicionTable table{QuarantineSettings()};
-    table.Merge(now, told.front());
+    table.Merge(now, received.front());
     now += 1min;
-    table.Judge(now, kFingerprint);
-    told = table.Newest(now, 10);
+    table.VerdictOf(now, kFingerprint);
+    received = table.Newest(now, 10);
   }
-  EXPECT_TRUE(told.empty());
+  EXPECT_TRUE(received.empty());
   EXPECT_EQ(now, kStart + 20min);
 }
 
-// Symptom: nodes disagree for ever on whether a request is suspect.
-// Sequence: the same news reaches them in different orders, some of it twice.
-// Cause: news that overwrites in place of merging.
+// Guards against nodes that disagree forever on whether a request is suspect:
+// the same news reaches them in different orders, some of it twice, and
+// overwrites records instead of being merged.
 RC_GTEST_PROP(SuspicionTableMergeTest,
-              EndsTheSameInAnyOrder,
+              ConvergesInAnyOrder,
               (const std::vector<std::pair<std::uint8_t, std::uint8_t>>& all)) {
   std::vector<Suspicion> news;
   news.reserve(all.size());
