--- a/source/core/pipeline/quarantine_filter.cc
+++ b/source/core/pipeline/quarantine_filter.cc
@@ -11,7 +11,7 @@
   switch (m_quarantine.Check(now, call.head.fingerprint)) {
     case Verdict::kClear:
       return PassCall{};
-    case Verdict::kConvicted:
+    case Verdict::kQuarantined:
       return RefuseCall(Reason::kQuarantined);
     case Verdict::kSuspect:
       break;
@@ -65,7 +65,7 @@
 // A convict is refused for minutes; a suspect may run as soon as the run that
 // holds the permit has ended.
 Reason QuarantineFilter::ReasonWithoutPermit(Fingerprint fingerprint) {
-  return m_quarantine.Check(m_event_time, fingerprint) == Verdict::kConvicted
+  return m_quarantine.Check(m_event_time, fingerprint) == Verdict::kQuarantined
              ? Reason::kQuarantined
              : Reason::kSuspect;
 }
--- a/source/core/quarantine/quarantine.cc
+++ b/source/core/quarantine/quarantine.cc
@@ -42,7 +42,7 @@
   const bool is_full =
       found == m_permits.end() && m_permits.size() >= m_settings.max_records;
   if (is_taken || is_full ||
-      m_suspicions.VerdictOf(now, fingerprint) == Verdict::kConvicted) {
+      m_suspicions.VerdictOf(now, fingerprint) == Verdict::kQuarantined) {
     callback(PermitResult::kRefused);
     return;
   }
@@ -60,7 +60,7 @@
   if (end == PermitEnd::kFinished)
     RecordAndBroadcast(now, fingerprint, SuspicionState::kCleared);
   if (end == PermitEnd::kCrashed)
-    RecordAndBroadcast(now, fingerprint, SuspicionState::kConvicted);
+    RecordAndBroadcast(now, fingerprint, SuspicionState::kQuarantined);
   const auto found = m_permits.find(fingerprint);
   if (found == m_permits.end() || found->second.stage != PermitStage::kHeld)
     return;
@@ -97,7 +97,7 @@
                              Fingerprint fingerprint,
                              bool is_suspect) {
   const Verdict verdict = m_suspicions.VerdictOf(now, fingerprint);
-  if (verdict == Verdict::kConvicted)
+  if (verdict == Verdict::kQuarantined)
     return Reason::kQuarantined;
   // Until the news of a crash has reached all nodes, an entry without it may
   // send its copy of the request here, which could crash this target too.
@@ -135,7 +135,7 @@
                               const std::vector<AdmittedWork>& works) {
   for (const AdmittedWork& work : works) {
     RecordAndBroadcast(now, work.fingerprint,
-                       work.is_suspect ? SuspicionState::kConvicted
+                       work.is_suspect ? SuspicionState::kQuarantined
                                        : SuspicionState::kSuspect);
   }
 }
@@ -371,7 +371,7 @@
   if (!IsHome(ask.fingerprint))
     return;
   const bool is_quarantined =
-      m_suspicions.VerdictOf(now, ask.fingerprint) == Verdict::kConvicted;
+      m_suspicions.VerdictOf(now, ask.fingerprint) == Verdict::kQuarantined;
   const bool is_settled = IsSettledHome(now, ask.fingerprint);
   PermitReply reply;
   reply.fingerprint = ask.fingerprint;
--- a/source/core/quarantine/quarantine.h
+++ b/source/core/quarantine/quarantine.h
@@ -77,8 +77,8 @@
 
   // --- Entry ---
 
-  // kClear: run the request. kSuspect: request a permit. kConvicted: refuse the
-  // call as not run, with Reason::kQuarantined.
+  // kClear: run the request. kSuspect: request a permit. kQuarantined: refuse
+  // the call as not run, with Reason::kQuarantined.
   Verdict Check(TimePoint now, Fingerprint fingerprint);
 
   // Calls `callback` exactly once with kGranted or kRefused, within
--- a/source/core/quarantine/quarantine_codec.cc
+++ b/source/core/quarantine/quarantine_codec.cc
@@ -20,7 +20,7 @@
 std::optional<SuspicionNews> Decode(const wire::SuspicionNews& in) {
   const std::uint32_t state = in.state();
   if (state < static_cast<std::uint32_t>(SuspicionState::kSuspect) ||
-      state > static_cast<std::uint32_t>(SuspicionState::kConvicted))
+      state > static_cast<std::uint32_t>(SuspicionState::kQuarantined))
     return std::nullopt;
   return SuspicionNews{
       Fingerprint(in.fingerprint()),
--- a/source/core/quarantine/suspicion_table.cc
+++ b/source/core/quarantine/suspicion_table.cc
@@ -24,9 +24,9 @@
       return Verdict::kSuspect;
     case SuspicionState::kCleared:
       return Verdict::kClear;
-    case SuspicionState::kConvicted:
+    case SuspicionState::kQuarantined:
       return IsQuarantineOver(now, *record) ? Verdict::kSuspect
-                                            : Verdict::kConvicted;
+                                            : Verdict::kQuarantined;
   }
   return Verdict::kClear;
 }
@@ -49,7 +49,7 @@
     return;
   }
   const Suspicion known = record->suspicion;
-  if (known.state == SuspicionState::kConvicted) {
+  if (known.state == SuspicionState::kQuarantined) {
     const bool is_new =
         state != SuspicionState::kSuspect && IsQuarantineOver(now, *record);
     if (is_new)
@@ -93,7 +93,7 @@
       return m_settings.suspicion_time;
     case SuspicionState::kCleared:
       return m_settings.clearance_time;
-    case SuspicionState::kConvicted:
+    case SuspicionState::kQuarantined:
       return 2 * m_settings.conviction_time;
   }
   return Duration(0);
@@ -153,7 +153,7 @@
       return m_suspects;
     case SuspicionState::kCleared:
       return m_cleared;
-    case SuspicionState::kConvicted:
+    case SuspicionState::kQuarantined:
       break;
   }
   return m_quarantined;
--- a/source/core/quarantine/suspicion_table.h
+++ b/source/core/quarantine/suspicion_table.h
@@ -18,14 +18,14 @@
 
 namespace bulrushmount {
 
-enum class Verdict : std::uint8_t { kClear, kSuspect, kConvicted };
+enum class Verdict : std::uint8_t { kClear, kSuspect, kQuarantined };
 
 // The values are sent in datagrams. Within one generation the higher value
 // overrides the lower one.
 enum class SuspicionState : std::uint8_t {
   kSuspect = 1,
   kCleared = 2,
-  kConvicted = 3,
+  kQuarantined = 3,
 };
 
 // Increases each time a cleared fingerprint becomes suspect again, so that old
--- a/source/unit_tests/core/quarantine/quarantine_fleet.h
+++ b/source/unit_tests/core/quarantine/quarantine_fleet.h
@@ -95,7 +95,7 @@
               OnPermit(entry, owner, fingerprint, runtime, result);
             });
         break;
-      case Verdict::kConvicted:
+      case Verdict::kQuarantined:
         ++m_counts[fingerprint].refused;
         break;
     }
--- a/source/unit_tests/core/quarantine/quarantine_test.cc
+++ b/source/unit_tests/core/quarantine/quarantine_test.cc
@@ -247,7 +247,7 @@
   ASSERT_EQ(m_fleet.TargetsCrashed(), 2U);
   for (std::size_t index = 0; index < kNodes; ++index) {
     const Verdict verdict = m_fleet.node(index).Check(m_fleet.now(), kPoison);
-    EXPECT_TRUE(index == entry || verdict == Verdict::kConvicted);
+    EXPECT_TRUE(index == entry || verdict == Verdict::kQuarantined);
   }
 }
 
--- a/source/unit_tests/core/quarantine/suspicion_table_test.cc
+++ b/source/unit_tests/core/quarantine/suspicion_table_test.cc
@@ -18,7 +18,7 @@
 
 constexpr SuspicionState kSuspect = SuspicionState::kSuspect;
 constexpr SuspicionState kCleared = SuspicionState::kCleared;
-constexpr SuspicionState kConvicted = SuspicionState::kConvicted;
+constexpr SuspicionState kQuarantined = SuspicionState::kQuarantined;
 
 struct StateCase {
   std::vector<SuspicionState> states;
@@ -49,19 +49,20 @@
         StateCase{{kSuspect, kSuspect}, 0s, Verdict::kSuspect, 1},
         StateCase{{kSuspect, kCleared}, 0s, Verdict::kClear, 1},
         StateCase{{kSuspect, kCleared, kSuspect}, 0s, Verdict::kSuspect, 2},
-        StateCase{{kSuspect, kConvicted}, 0s, Verdict::kConvicted, 1},
-        StateCase{{kConvicted, kSuspect}, 0s, Verdict::kConvicted, 1},
-        StateCase{{kConvicted, kCleared}, 0s, Verdict::kConvicted, 1},
+        StateCase{{kSuspect, kQuarantined}, 0s, Verdict::kQuarantined, 1},
+        StateCase{{kQuarantined, kSuspect}, 0s, Verdict::kQuarantined, 1},
+        StateCase{{kQuarantined, kCleared}, 0s, Verdict::kQuarantined, 1},
         // Every record expires; a quarantined fingerprint is suspect first.
         StateCase{{kSuspect}, 10min, Verdict::kClear, 0},
-        StateCase{{kConvicted}, 10min, Verdict::kSuspect, 1},
-        StateCase{{kConvicted}, 20min, Verdict::kClear, 0}));
+        StateCase{{kQuarantined}, 10min, Verdict::kSuspect, 1},
+        StateCase{{kQuarantined}, 20min, Verdict::kClear, 0}));
 
 TEST(SuspicionTableExpiryTest, EndsWithTheNextRun) {
   SuspicionTable table{QuarantineSettings()};
-  table.SetState(kStart, kFingerprint, kConvicted);
-  table.SetState(kStart + 11min, kFingerprint, kConvicted);
-  EXPECT_EQ(table.VerdictOf(kStart + 11min, kFingerprint), Verdict::kConvicted);
+  table.SetState(kStart, kFingerprint, kQuarantined);
+  table.SetState(kStart + 11min, kFingerprint, kQuarantined);
+  EXPECT_EQ(table.VerdictOf(kStart + 11min, kFingerprint),
+            Verdict::kQuarantined);
   table.SetState(kStart + 22min, kFingerprint, kCleared);
   EXPECT_EQ(table.VerdictOf(kStart + 22min, kFingerprint), Verdict::kClear);
 }
@@ -70,14 +71,14 @@
   QuarantineSettings settings;
   settings.max_records = 3;
   SuspicionTable table{settings};
-  table.SetState(kStart, Fingerprint(1), kConvicted);
+  table.SetState(kStart, Fingerprint(1), kQuarantined);
   table.SetState(kStart, Fingerprint(2), kSuspect);
   table.SetState(kStart, Fingerprint(3), kCleared);
   for (std::uint64_t flood = 10; flood < 1000; ++flood) {
     table.SetState(kStart, Fingerprint(flood), kSuspect);
     EXPECT_EQ(table.size(), 3U);
   }
-  EXPECT_EQ(table.VerdictOf(kStart, Fingerprint(1)), Verdict::kConvicted);
+  EXPECT_EQ(table.VerdictOf(kStart, Fingerprint(1)), Verdict::kQuarantined);
   EXPECT_EQ(table.VerdictOf(kStart, Fingerprint(2)), Verdict::kClear);
   EXPECT_EQ(table.VerdictOf(kStart, Fingerprint(999)), Verdict::kSuspect);
 }
@@ -88,7 +89,7 @@
 TEST(SuspicionTableAgeTest, ForwardingDoesNotRestartTheLifetime) {
   TimePoint now = kStart;
   std::vector<SuspicionNews> received = {
-      {kFingerprint, {Generation(1), kConvicted}, Duration(0)}};
+      {kFingerprint, {Generation(1), kQuarantined}, Duration(0)}};
   for (int node = 0; node < 30 && !received.empty(); ++node) {
     SuspicionTable table{QuarantineSettings()};
     table.Merge(now, received.front());
