--- a/source/core/node_logic/node.cc
+++ b/source/core/node_logic/node.cc
@@ -56,7 +56,7 @@
 
 QuarantineSettings MakeQuarantineSettings(const NodeSettings& settings) {
   QuarantineSettings quarantine;
-  quarantine.conviction_time = settings.quarantine_time;
+  quarantine.quarantine_time = settings.quarantine_time;
   return quarantine;
 }
 
--- a/source/core/quarantine/quarantine_settings.h
+++ b/source/core/quarantine/quarantine_settings.h
@@ -13,7 +13,7 @@
 struct QuarantineSettings {
   // A quarantined request is refused for this long and is suspect for the same
   // time afterwards.
-  Duration conviction_time = std::chrono::minutes(10);
+  Duration quarantine_time = std::chrono::minutes(10);
   // A suspect is forgotten if it is not reported again for this long.
   Duration suspicion_time = std::chrono::minutes(10);
   // A clearance is remembered for this long, so that delayed news of the
--- a/source/core/quarantine/suspicion_table.cc
+++ b/source/core/quarantine/suspicion_table.cc
@@ -94,14 +94,14 @@
     case SuspicionState::kCleared:
       return m_settings.clearance_time;
     case SuspicionState::kQuarantined:
-      return 2 * m_settings.conviction_time;
+      return 2 * m_settings.quarantine_time;
   }
   return Duration(0);
 }
 
 bool SuspicionTable::IsQuarantineOver(TimePoint now,
                                       const Record& record) const {
-  return now - record.changed_at >= m_settings.conviction_time;
+  return now - record.changed_at >= m_settings.quarantine_time;
 }
 
 SuspicionTable::Record* SuspicionTable::FindRecord(TimePoint now,
