--- a/source/core/node_logic/owner_side.cc
+++ b/source/core/node_logic/owner_side.cc
@@ -296,7 +296,7 @@
     return;
   LogLine(LogLevel::kWarning, "target.crash_suspects")
       .Add("requests", suspects.size());
-  m_quarantine.SuspectEnded(now, suspects);
+  m_quarantine.SuspectEndedWorks(now, suspects);
 }
 
 // The zone's targets may have turned cold meanwhile: asked at once, they need
--- a/source/core/quarantine/quarantine.cc
+++ b/source/core/quarantine/quarantine.cc
@@ -128,11 +128,11 @@
                                  const std::vector<AdmittedWork>& works) {
   for (const AdmittedWork& work : works)
     OnWorkEnded(work);
-  SuspectEnded(now, works);
+  SuspectEndedWorks(now, works);
 }
 
-void Quarantine::SuspectEnded(TimePoint now,
-                              const std::vector<AdmittedWork>& works) {
+void Quarantine::SuspectEndedWorks(TimePoint now,
+                                   const std::vector<AdmittedWork>& works) {
   for (const AdmittedWork& work : works) {
     RecordAndBroadcast(now, work.fingerprint,
                        work.is_suspect ? SuspicionState::kQuarantined
--- a/source/core/quarantine/quarantine.h
+++ b/source/core/quarantine/quarantine.h
@@ -119,7 +119,7 @@
 
   // The same for requests whose OnWorkEnded was called before the crash was
   // detected.
-  void SuspectEnded(TimePoint now, const std::vector<AdmittedWork>& works);
+  void SuspectEndedWorks(TimePoint now, const std::vector<AdmittedWork>& works);
 
   // --- All ---
 
