--- a/source/core/claims/claim_book.cc
+++ b/source/core/claims/claim_book.cc
@@ -1,4 +1,5 @@
-// Part of `claim_book.h`: the door to the logic, which table callbacks share.
+// Part of `claim_book.h`: forwards to the state that is shared with the
+// callbacks of the table.
 
 #include "core/claims/claim_book.h"
 
--- a/source/core/claims/claim_book_state.cc
+++ b/source/core/claims/claim_book_state.cc
@@ -1,5 +1,5 @@
-// Part of `claim_book_state.h`: what callers ask of the book, timers and
-// replies. The steps of a claim are in `claim_steps.cc`.
+// Part of `claim_book_state.h`: the calls of ClaimBook, timers and replies. The
+// steps of a claim are in `claim_steps.cc`.
 
 #include "core/claims/claim_book_state.h"
 
@@ -24,17 +24,17 @@
   const ClaimId id{++m_last_id};
   const std::size_t key_length = request.key.value().size();
   if (key_length == 0 || key_length > kMaxIdempotencyKeyLength) {
-    Answer(std::move(callback), {ClaimStatus::kKeyInvalid, {}});
+    QueueReply(std::move(callback), {ClaimStatus::kKeyInvalid, {}});
     SendReplies(now);
     return id;
   }
   std::string row_key = ClaimRowKey(request.workspace, request.key);
   const auto local = m_by_key.find(row_key);
   if (local != m_by_key.end()) {
-    Answer(std::move(callback),
-           ResultOfLocal(*m_claims.at(local->second), request));
+    QueueReply(std::move(callback),
+               ResultOfLocal(*m_claims.at(local->second), request));
   } else if (!m_breaker.Allow(now)) {
-    Answer(std::move(callback), {ClaimStatus::kStoreUnavailable, {}});
+    QueueReply(std::move(callback), {ClaimStatus::kStoreUnavailable, {}});
   } else {
     Claim& claim = Insert(now, std::move(request), std::move(row_key));
     claim.callback = std::move(callback);
@@ -44,7 +44,7 @@
   return id;
 }
 
-// Uses the id that Acquire drew.
+// Creates the claim with the latest id, m_last_id.
 Claim& ClaimBookState::Insert(TimePoint now,
                               ClaimRequest request,
                               std::string row_key) {
@@ -70,7 +70,7 @@
   return claim;
 }
 
-// The key is at work on this node already, so its row need not be asked for.
+// This node already has a claim of the key, so its row need not be read.
 ClaimResult ClaimBookState::ResultOfLocal(const Claim& claim,
                                           const ClaimRequest& request) const {
   const bool is_released = claim.goal == ClaimGoal::kSettle &&
@@ -90,7 +90,7 @@
   return {ClaimStatus::kEarlierOutcomeUnknown, {}};
 }
 
-// The wall clock only chooses between two words for "not yours".
+// The wall clock only chooses between "in progress" and "outcome unknown".
 ClaimResult ClaimBookState::ResultOfRow(TimePoint now,
                                         const ClaimRow& row,
                                         const ClaimRequest& request) const {
@@ -127,7 +127,7 @@
   Claim* claim = Find(id);
   if (claim == nullptr || claim->goal != ClaimGoal::kHold)
     return;
-  claim->outcome_row.answer = Trim(std::move(answer));
+  claim->outcome_row.answer = LimitBody(std::move(answer));
   Settle(now, *claim, ClaimRowState::kFinished);
 }
 
@@ -138,9 +138,9 @@
   Settle(now, *claim, ClaimRowState::kUnknown);
 }
 
-// A large body, or many that wait while the table is down, would fill the
-// node's memory; the status alone still stops a second run.
-StoredAnswer ClaimBookState::Trim(StoredAnswer answer) {
+// A large body, or many that wait during an outage of the table, would exhaust
+// the memory of the node. The status alone still prevents a second run.
+StoredAnswer ClaimBookState::LimitBody(StoredAnswer answer) {
   const std::size_t size = answer.body.size();
   const bool is_kept =
       answer.is_body_kept && size <= m_settings.max_body_bytes &&
@@ -168,7 +168,8 @@
     Advance(now, claim);
     return;
   }
-  // A call with a short deadline says nothing about the table.
+  // Only a full wait counts as a failure: a call with a short deadline does not
+  // show that the table has failed.
   if (now - claim.started >= m_settings.max_acquire_time)
     m_breaker.OnFailure(now);
   Refuse(now, claim, {ClaimStatus::kStoreUnavailable, {}});
@@ -198,7 +199,8 @@
     m_timers.emplace(wake_at, claim.id);
 }
 
-void ClaimBookState::Answer(ClaimBook::Callback callback, ClaimResult result) {
+void ClaimBookState::QueueReply(ClaimBook::Callback callback,
+                                ClaimResult result) {
   if (!callback)
     return;
   CountResult(result.status);
--- a/source/core/claims/claim_book_state.h
+++ b/source/core/claims/claim_book_state.h
@@ -1,5 +1,5 @@
-// The logic behind `claim_book.h`: each claim, what is known of its row, and
-// the next step towards its goal.
+// The implementation of `claim_book.h`: for each claim its goal, the last known
+// state of its row, and the next step towards the goal.
 
 #ifndef BULRUSHMOUNT_CORE_CLAIMS_CLAIM_BOOK_STATE_H_
 #define BULRUSHMOUNT_CORE_CLAIMS_CLAIM_BOOK_STATE_H_
@@ -23,21 +23,21 @@
 
 namespace bulrushmount::detail {
 
-// What a claim is at. Only ever goes down the list.
+// The goal of a claim. It changes only in the order of the list.
 enum class ClaimGoal : std::uint8_t {
-  // To write its claimed row, or to learn that another's is there.
+  // Write the claimed row, or learn that another claim holds it.
   kAcquire,
-  // Granted; waits for its outcome.
+  // Granted; waits for the outcome of the call.
   kHold,
-  // To write its outcome, or to make sure that nothing of it is in the table.
+  // Write the outcome, or make sure that the table has nothing of this claim.
   kSettle,
 };
 
 // Who holds the row at its last known version.
 enum class RowHolder : std::uint8_t {
-  // There is no row, or a released one.
+  // There is no row, or it is released.
   kNobody,
-  // This claim: the row is its `claimed_row`.
+  // This claim; the row equals `claimed_row`.
   kThisClaim,
   kOther,
 };
@@ -47,33 +47,35 @@
   ClaimRequest request;
   std::string row_key;
   ClaimGoal goal = ClaimGoal::kAcquire;
-  // Empty once it was called or the claim was released.
+  // Empty after it was called or the claim was released.
   ClaimBook::Callback callback;
 
-  // As written when the claim is acquired.
+  // The row that acquires the claim.
   ClaimRow claimed_row;
-  // Set with kSettle.
+  // The row that ends the claim; valid with kSettle.
   ClaimRow outcome_row;
 
-  // The row's last known version; the condition of the next write.
+  // Last known version of the row; the condition of the next write.
   RowVersion version = kNoRow;
   RowHolder holder = RowHolder::kNobody;
-  // Of meaning with kOther.
+  // Valid with kOther.
   ClaimRow other_row;
-  // Condition of a write of this claim that may yet take effect. It cannot any
-  // more once the row is seen at another version, as versions never return.
-  std::optional<RowVersion> open_condition;
-  // A write was not answered: read the row before the next.
+  // Condition of a write of this claim that was not answered and may still take
+  // effect. Once the row is seen at another version it cannot any more, because
+  // versions are never reused.
+  std::optional<RowVersion> pending_write_condition;
+  // A write was not answered; the row must be read before the next write.
   bool is_read_due = false;
-  // At most one read or write of a claim is under way.
-  bool is_busy = false;
-  // The last write was of `outcome_row`.
+  // A read or write is in flight; there is at most one.
+  bool is_request_in_flight = false;
+  // Whether the last write was of `outcome_row`.
   bool is_outcome_sent = false;
   int writes = 0;
-  // In a row.
+  // Consecutive failures.
   int failures = 0;
   TimePoint started;
-  // When OnTimer looks at it: the end of an acquisition, or the next try.
+  // When OnTimer handles the claim: the end of the acquisition, or the next
+  // retry.
   TimePoint wake_at = TimePoint::max();
 };
 
@@ -112,7 +114,7 @@
     ClaimResult result;
   };
 
-  // Acquiring.
+  // Acquiring a claim.
   ClaimResult ResultOfLocal(const Claim& claim,
                             const ClaimRequest& request) const;
   ClaimResult ResultOfRow(TimePoint now,
@@ -121,14 +123,14 @@
   Claim& Insert(TimePoint now, ClaimRequest request, std::string row_key);
   void Grant(TimePoint now, Claim& claim);
   void Refuse(TimePoint now, Claim& claim, ClaimResult result);
-  void Answer(ClaimBook::Callback callback, ClaimResult result);
+  void QueueReply(ClaimBook::Callback callback, ClaimResult result);
 
-  // Settling.
+  // Writing the outcome of a claim.
   void Settle(TimePoint now, Claim& claim, ClaimRowState state);
-  StoredAnswer Trim(StoredAnswer answer);
+  StoredAnswer LimitBody(StoredAnswer answer);
   void Remove(Claim& claim);
 
-  // The next step; all of them may remove the claim.
+  // Take the next step; each of these may remove the claim.
   void Advance(TimePoint now, Claim& claim);
   void AdvanceAcquire(TimePoint now, Claim& claim);
   void AdvanceSettle(TimePoint now, Claim& claim);
@@ -151,18 +153,19 @@
   TableService& m_table;
   RandomSource& m_random;
   WallAnchor m_wall;
-  StoreBreaker m_breaker;
+  StoreCircuitBreaker m_breaker;
   std::shared_ptr<WriteBatcher> m_batcher;
   std::uint64_t m_last_id = 0;
   std::unordered_map<ClaimId, std::unique_ptr<Claim>> m_claims;
-  // Each claim once, by its row's key: two calls of a node with the same key
-  // meet here and need no table.
+  // The claims by row key, so that calls of one node with the same key conflict
+  // without a request to the table.
   std::unordered_map<std::string, ClaimId> m_by_key;
-  // Each claim whose wake_at is not max, once.
+  // Holds each claim whose wake_at is not max once.
   std::set<std::pair<TimePoint, ClaimId>> m_timers;
   std::size_t m_settling = 0;
   std::size_t m_pending_body_bytes = 0;
-  // Called when no claim is being changed, as they may call back in.
+  // Replies are sent when no claim is being changed, because callbacks may call
+  // back into the object.
   std::deque<Reply> m_replies;
   ClaimStats m_stats;
 };
--- a/source/core/claims/claim_row.h
+++ b/source/core/claims/claim_row.h
@@ -1,4 +1,4 @@
-// The row of a claim in the table: where it lies and what it says.
+// The key and the value of a claim row in the table.
 
 #ifndef BULRUSHMOUNT_CORE_CLAIMS_CLAIM_ROW_H_
 #define BULRUSHMOUNT_CORE_CLAIMS_CLAIM_ROW_H_
@@ -15,35 +15,35 @@
 
 namespace bulrushmount::detail {
 
-// Rows are spread over this many prefixes, so that the sweeper can scan a
-// small part at a time.
+// Number of key prefixes over which rows are spread, so that the sweeper can
+// scan a small part at a time.
 inline constexpr std::size_t kClaimShards = 65536;
 
-// "claim/<shard>/<workspace>/<key>". Both names are percent-encoded, which is
-// reversible, so two keys never share a row.
+// Returns "claim/<shard>/<workspace>/<key>". Both names are percent-encoded,
+// which is reversible, so two different keys never share a row.
 std::string ClaimRowKey(const WorkspaceName& workspace,
                         const IdempotencyKey& key);
 
-// The prefix of a shard's rows; `shard` is below kClaimShards.
+// Returns the key prefix of a shard; `shard` is less than kClaimShards.
 std::string ClaimShardPrefix(std::size_t shard);
 
 enum class ClaimRowState : std::uint8_t {
-  // The claimant alone may dispatch, or has.
+  // Only the claimant may dispatch, or has dispatched, the request.
   kClaimed,
-  // It did not run; anyone may claim the row at its version.
+  // The request did not run; any node may claim the row at its current version.
   kReleased,
   kFinished,
-  // Dispatched without a whole answer.
+  // The request was dispatched and no complete answer arrived.
   kUnknown,
 };
 
 struct ClaimRow {
   ClaimRowState state = ClaimRowState::kClaimed;
-  // Drawn for each claim: tells the claimant its own row from another's.
+  // Random for each claim, so that the claimant recognizes its own row.
   std::uint64_t token = 0;
   Fingerprint fingerprint;
   WallTime claimed_at;
-  // Of the claimant's deadline at `claimed_at`.
+  // Time left until the deadline of the claimant at `claimed_at`.
   Duration time_left{};
   WallTime expires_at;
   // Only with kFinished.
@@ -52,7 +52,7 @@
 
 std::string EncodeClaimRow(const ClaimRow& row);
 
-// Empty for a value that this release cannot read.
+// Returns nothing for a value that this release cannot read.
 std::optional<ClaimRow> DecodeClaimRow(std::string_view value);
 
 }  // namespace bulrushmount::detail
--- a/source/core/claims/claim_steps.cc
+++ b/source/core/claims/claim_steps.cc
@@ -1,5 +1,5 @@
 // Part of `claim_book_state.h`: the steps of a claim. Each reply of the table
-// changes what is known of the row, and `Advance` then takes the next step.
+// updates the known state of the row, and `Advance` then takes the next step.
 
 #include <algorithm>
 #include <utility>
@@ -10,16 +10,16 @@
 
 namespace {
 
-// A claim that was not written by then meets a store that loses one answer
-// after the other, or a row that changes hands all the time.
+// More writes than this mean that the store repeatedly loses answers or that
+// the row keeps changing hands.
 constexpr int kMaxAcquireWrites = 4;
 
 constexpr int kMaxBackoffDoublings = 16;
 
-void Learn(Claim& claim, const Row* row) {
+void UpdateRowState(Claim& claim, const Row* row) {
   const RowVersion current = row == nullptr ? kNoRow : row->version;
-  if (claim.open_condition != current)
-    claim.open_condition.reset();
+  if (claim.pending_write_condition != current)
+    claim.pending_write_condition.reset();
   claim.version = current;
   claim.is_read_due = false;
   claim.holder = RowHolder::kNobody;
@@ -27,8 +27,8 @@
     return;
   const std::optional<ClaimRow> decoded = DecodeClaimRow(row->value);
   if (!decoded) {
-    // A row of a later release: it may say anything, so the request may have
-    // run.
+    // A row written by a later release may have any meaning, so the request may
+    // have run.
     claim.holder = RowHolder::kOther;
     claim.other_row = claim.claimed_row;
     claim.other_row.state = ClaimRowState::kUnknown;
@@ -46,7 +46,7 @@
 }  // namespace
 
 void ClaimBookState::Advance(TimePoint now, Claim& claim) {
-  if (claim.is_busy || claim.goal == ClaimGoal::kHold)
+  if (claim.is_request_in_flight || claim.goal == ClaimGoal::kHold)
     return;
   if (claim.goal == ClaimGoal::kSettle) {
     AdvanceSettle(now, claim);
@@ -76,11 +76,11 @@
 }
 
 void ClaimBookState::AdvanceSettle(TimePoint now, Claim& claim) {
-  // A write that may still take effect would leave a claim behind that nobody
-  // holds, and repeats of the key would be refused until the sweep. The
-  // outcome's row, written under the same condition, keeps it out.
-  const bool is_in_table =
-      claim.holder == RowHolder::kThisClaim || claim.open_condition.has_value();
+  // A write that may still take effect could leave a claimed row without a
+  // holder, and repeats of the key would be refused until the sweep. Writing
+  // the outcome under the same condition prevents that.
+  const bool is_in_table = claim.holder == RowHolder::kThisClaim ||
+                           claim.pending_write_condition.has_value();
   if (!is_in_table) {
     Remove(claim);
     return;
@@ -99,18 +99,19 @@
 }
 
 void ClaimBookState::Grant(TimePoint now, Claim& claim) {
-  // The node may have been frozen while the answer was on its way.
+  // The node may have been frozen while the reply was in transit.
   if (now >= claim.request.deadline) {
     Refuse(now, claim, {ClaimStatus::kStoreUnavailable, {}});
     return;
   }
   claim.goal = ClaimGoal::kHold;
   SetWake(claim, TimePoint::max());
-  Answer(std::exchange(claim.callback, nullptr), {ClaimStatus::kGranted, {}});
+  QueueReply(std::exchange(claim.callback, nullptr),
+             {ClaimStatus::kGranted, {}});
 }
 
 void ClaimBookState::Refuse(TimePoint now, Claim& claim, ClaimResult result) {
-  Answer(std::exchange(claim.callback, nullptr), std::move(result));
+  QueueReply(std::exchange(claim.callback, nullptr), std::move(result));
   Settle(now, claim, ClaimRowState::kReleased);
 }
 
@@ -122,7 +123,7 @@
   claim.outcome_row = claim.claimed_row;
   claim.outcome_row.state = state;
   claim.outcome_row.answer = std::move(answer);
-  // The retention counts from the outcome on.
+  // The retention counts from the outcome.
   const Duration ran = now - claim.started;
   claim.outcome_row.expires_at +=
       std::chrono::duration_cast<WallTime::duration>(ran);
@@ -131,7 +132,7 @@
     Remove(claim);
     return;
   }
-  if (claim.failures > 0 && !claim.is_busy) {
+  if (claim.failures > 0 && !claim.is_request_in_flight) {
     SetWake(claim, now + RetryPause(claim.failures));
     return;
   }
@@ -148,7 +149,7 @@
 }
 
 void ClaimBookState::Read(TimePoint now, Claim& claim) {
-  claim.is_busy = true;
+  claim.is_request_in_flight = true;
   ++m_stats.reads;
   m_table.Submit(TableGet{claim.row_key},
                  [weak = weak_from_this(), id = claim.id, sent = now](
@@ -162,7 +163,7 @@
                            Claim& claim,
                            const ClaimRow& row,
                            Urgency urgency) {
-  claim.is_busy = true;
+  claim.is_request_in_flight = true;
   claim.is_outcome_sent = urgency != Urgency::kClaim;
   ++claim.writes;
   m_batcher->Add(now,
@@ -178,10 +179,10 @@
   Claim* claim = Find(id);
   if (claim == nullptr)
     return;
-  claim->is_busy = false;
+  claim->is_request_in_flight = false;
   if (reply.status == TableStatus::kOk) {
     claim->failures = 0;
-    Learn(*claim, reply.rows.empty() ? nullptr : &reply.rows.front());
+    UpdateRowState(*claim, reply.rows.empty() ? nullptr : &reply.rows.front());
     Advance(now, *claim);
   } else {
     OnFailed(now, *claim);
@@ -195,18 +196,18 @@
   Claim* claim = Find(id);
   if (claim == nullptr)
     return;
-  claim->is_busy = false;
+  claim->is_request_in_flight = false;
   switch (result.status) {
     case WriteStatus::kWritten:
       OnWritten(now, *claim, result.version);
       break;
     case WriteStatus::kConflict:
       claim->failures = 0;
-      Learn(*claim, result.row ? &*result.row : nullptr);
+      UpdateRowState(*claim, result.row ? &*result.row : nullptr);
       Advance(now, *claim);
       break;
     case WriteStatus::kUnknown:
-      claim->open_condition = claim->version;
+      claim->pending_write_condition = claim->version;
       claim->is_read_due = true;
       OnFailed(now, *claim);
       break;
@@ -222,7 +223,7 @@
                                RowVersion version) {
   claim.failures = 0;
   claim.version = version;
-  claim.open_condition.reset();
+  claim.pending_write_condition.reset();
   if (claim.is_outcome_sent) {
     Remove(claim);
     return;
@@ -231,8 +232,8 @@
   Advance(now, claim);
 }
 
-// A call is refused at once, but for a write whose answer was lost: that is
-// read back first.
+// Refuses the call, except after the first write without an answer: the row is
+// then read back first.
 void ClaimBookState::OnFailed(TimePoint now, Claim& claim) {
   const bool is_first = claim.failures == 0;
   ++claim.failures;
@@ -253,8 +254,8 @@
   CountReply(now, took, status);
 }
 
-// An answer that comes when no call waits any more is no help: it counts as a
-// failure, so that a slow store does not leave every call hanging.
+// A reply that took longer than a call may wait counts as a failure, so that a
+// slow store opens the circuit breaker instead of leaving every call waiting.
 void ClaimBookState::CountReply(TimePoint now,
                                 Duration took,
                                 TableStatus status) {
@@ -268,10 +269,10 @@
 }
 
 Duration ClaimBookState::RetryPause(int failures) {
-  Duration pause = m_settings.first_retry;
+  Duration pause = m_settings.initial_retry_pause;
   const int doublings = std::min(failures - 1, kMaxBackoffDoublings);
   for (int count = 0; count < doublings; ++count)
-    pause = std::min(pause * 2, m_settings.longest_retry);
+    pause = std::min(pause * 2, m_settings.max_retry_pause);
   const double share = 0.5 + m_random.Fraction() / 2;
   return FromSeconds(ToSeconds(pause) * share);
 }
--- a/source/core/claims/claim_sweeper.cc
+++ b/source/core/claims/claim_sweeper.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr Duration kLongestFirstPause = std::chrono::minutes(10);
+constexpr Duration kMaxFirstPause = std::chrono::minutes(10);
 
 }  // namespace
 
@@ -40,13 +40,14 @@
   SweepStats stats;
 };
 
-// A row that this release cannot read stays: a later one will remove it.
+// Keeps rows that this release cannot read; a later release deletes them.
 bool ClaimSweeper::State::IsExpired(const Row& row, WallTime now) const {
   const auto claim = detail::DecodeClaimRow(row.value);
   if (!claim)
     return false;
-  Duration allowance = settings.clock_allowance;
-  // Without its row a request that still runs, or may, could be claimed again.
+  Duration allowance = settings.clock_skew_allowance;
+  // Without its row a request that is running, or may be, could be claimed
+  // again.
   if (claim->state == detail::ClaimRowState::kClaimed)
     allowance += settings.claimed_grace;
   return claim->expires_at + allowance < now;
@@ -81,7 +82,8 @@
       });
 }
 
-// The conditions keep out a row that changed since the scan.
+// Deletes are conditional on the row version, so a row that changed since the
+// scan is kept.
 TableTransact ClaimSweeper::State::ToDelete(TimePoint now,
                                             const TableReply& reply) const {
   TableTransact transaction;
@@ -96,7 +98,7 @@
   return transaction;
 }
 
-// Whatever went wrong, the shard's turn comes again.
+// A failed delete is not retried; a later scan of the shard repeats it.
 void ClaimSweeper::State::OnDeleted(const TableReply& reply,
                                     std::size_t count) {
   if (reply.status == TableStatus::kOk) {
@@ -106,7 +108,7 @@
   }
 }
 
-// Uniform over half to one and a half of the mean, so that nodes that started
+// Uniform between 0.5 and 1.5 times the mean, so that nodes that started
 // together spread out.
 Duration ClaimSweeper::State::Pause(std::size_t members) {
   const auto nodes = static_cast<double>(std::max<std::size_t>(members, 1));
@@ -120,9 +122,9 @@
                            TimePoint now,
                            WallAnchor wall)
     : m_state(std::make_shared<State>(settings, table, random, wall)) {
-  // Nodes that start together must not all scan at once.
+  // Spreads the first scans of nodes that start together.
   const double share = random.Fraction();
-  m_state->next_scan = now + FromSeconds(ToSeconds(kLongestFirstPause) * share);
+  m_state->next_scan = now + FromSeconds(ToSeconds(kMaxFirstPause) * share);
 }
 
 ClaimSweeper::~ClaimSweeper() = default;
--- a/source/core/claims/claim_sweeper.h
+++ b/source/core/claims/claim_sweeper.h
@@ -1,5 +1,5 @@
-// Removes claim rows past their retention, at a bounded rate for the whole
-// fleet.
+// Deletes claim rows past their retention, at a bounded rate for the whole
+// fleet. Each node scans random shards of the table at its share of the rate.
 
 #ifndef BULRUSHMOUNT_CORE_CLAIMS_CLAIM_SWEEPER_H_
 #define BULRUSHMOUNT_CORE_CLAIMS_CLAIM_SWEEPER_H_
@@ -16,14 +16,14 @@
 namespace bulrushmount {
 
 struct SweepSettings {
-  // Over the whole fleet; each node takes its share of it.
+  // Total over the fleet; each node does its share.
   double scans_per_second = 1.0;
-  // In one transaction after each scan.
+  // Maximum number of deletes in the one transaction after each scan.
   std::size_t max_deletes = 256;
-  // By how much the nodes' wall clocks may differ.
-  Duration clock_allowance = std::chrono::hours(1);
-  // What is added to the retention of a row that still says "claimed": its
-  // request may be running.
+  // Maximum difference between the wall clocks of the nodes.
+  Duration clock_skew_allowance = std::chrono::hours(1);
+  // Added to the retention of a row that is still claimed, because its request
+  // may be running.
   Duration claimed_grace = std::chrono::hours(24);
 };
 
@@ -47,13 +47,13 @@
   ClaimSweeper(const ClaimSweeper&) = delete;
   ClaimSweeper& operator=(const ClaimSweeper&) = delete;
 
-  // Scans one shard of the rows if it is time. `members` is the number of
-  // nodes alive, itself included; the rate is shared among them.
+  // Scans one shard if the next scan is due. `members` is the number of live
+  // nodes including this one; they share the rate.
   void OnTimer(TimePoint now, std::size_t members);
 
   TimePoint NextWakeup() const;
 
-  // Ties the clocks anew, when the wall clock was set.
+  // Replaces the anchor after the wall clock was set.
   void SetWallAnchor(WallAnchor wall);
 
   SweepStats stats() const;
--- a/source/core/claims/claim_types.h
+++ b/source/core/claims/claim_types.h
@@ -1,4 +1,4 @@
-// The requests, results and settings of idempotency claims, as values.
+// The requests, results, settings and statistics of idempotency claims.
 
 #ifndef BULRUSHMOUNT_CORE_CLAIMS_CLAIM_TYPES_H_
 #define BULRUSHMOUNT_CORE_CLAIMS_CLAIM_TYPES_H_
@@ -16,12 +16,12 @@
 
 namespace bulrushmount {
 
-// Wall-clock time. Rows outlive their writers, so their age can be told by no
-// other clock. It chooses words and the moment of the sweep, and never decides
-// whether a request may run.
+// Wall-clock time. Rows outlive the process that wrote them, so no monotonic
+// clock can measure their age. It only selects the status that is reported and
+// the time when a row is deleted, and never decides whether a request may run.
 using WallTime = std::chrono::system_clock::time_point;
 
-// Ties a node's monotonic clock to the wall clock.
+// Converts times of the monotonic clock of a node to wall-clock time.
 struct WallAnchor {
   TimePoint monotonic;
   WallTime wall;
@@ -32,46 +32,48 @@
   }
 };
 
-// A claim of this node, from `Acquire` until its outcome is written. Never 0.
+// Identifies a claim of this node, from `Acquire` until its outcome is written.
+// Never 0.
 using ClaimId = StrongType<struct ClaimIdTag, std::uint64_t>;
 
 struct ClaimRequest {
   WorkspaceName workspace;
   IdempotencyKey key;
-  // Tells whether a repeat of the key is the same request.
+  // Distinguishes a repeat of the same request from another request with the
+  // same key.
   Fingerprint fingerprint;
-  // The call's own; no dispatch is allowed from then on.
+  // Deadline of the call; no dispatch is allowed from then on.
   TimePoint deadline;
-  // The contract's `key_retention`.
+  // `key_retention` of the contract.
   Duration retention{};
 };
 
-// What is kept of the first run's answer.
+// The stored part of the answer of the first run.
 struct StoredAnswer {
   int status = 0;
   std::string content_type;
   std::string body;
-  // False if the body was above `ClaimSettings::max_body_bytes` or could not
-  // be held; then `body` and `content_type` are empty.
+  // False if the body was larger than `ClaimSettings::max_body_bytes` or could
+  // not be buffered; then `body` and `content_type` are empty.
   bool is_body_kept = true;
 
   friend bool operator==(const StoredAnswer&, const StoredAnswer&) = default;
 };
 
 enum class ClaimStatus : std::uint8_t {
-  // This call, and no other anywhere, may dispatch the request.
+  // This call, and no other on any node, may dispatch the request.
   kGranted,
   // Another call holds the claim.
   kInProgress,
-  // It ran; `ClaimResult::answer` is what to replay.
+  // The request has run; replay `ClaimResult::answer`.
   kFinished,
-  // It may have run, and nobody will find out.
+  // The request may have run, and its outcome cannot be determined.
   kEarlierOutcomeUnknown,
-  // The key belongs to another request. Not run.
+  // The key was used for another request. Not run.
   kKeyReused,
-  // Empty, or longer than kMaxIdempotencyKeyLength. Not run.
+  // The key is empty or longer than kMaxIdempotencyKeyLength. Not run.
   kKeyInvalid,
-  // This call was not run: the table gave no usable answer in time.
+  // The table gave no usable reply in time. This call was not run.
   kStoreUnavailable,
 };
 
@@ -81,45 +83,50 @@
   StoredAnswer answer;
 };
 
-// The reason that a caller is given; kNone for kGranted and kFinished.
+// Returns the reason to report to the caller; kNone for kGranted and kFinished.
 Reason ReasonOf(ClaimStatus status);
 
-// What a repeat is told when the first run's body was not kept: a 409 that
-// names the status of the first run. Returns `answer` itself if it was kept.
+// Returns the answer for a repeat: `answer` itself if its body was kept,
+// otherwise a 409 that states the status of the first run.
 StoredAnswer ToReplay(const StoredAnswer& answer);
 
 inline constexpr std::size_t kMaxIdempotencyKeyLength = 255;
 
 struct ClaimSettings {
-  // How long a call waits for its claim, if its deadline is not sooner.
+  // Maximum time that a call waits for its claim, unless its deadline is
+  // earlier.
   Duration max_acquire_time = std::chrono::seconds(1);
-  // How long a claim waits for company while a transaction is in flight. One
-  // that finds none in flight is sent at once.
+  // How long a claim waits to be batched with others while a transaction is in
+  // flight. Without a transaction in flight it is sent immediately.
   Duration claim_window = std::chrono::milliseconds(1);
-  // How long outcomes, for which nobody waits, are collected.
+  // How long outcomes are batched; no call waits for them.
   Duration outcome_window = std::chrono::milliseconds(50);
-  // Row writes in one transaction; 1 turns batching off.
+  // Maximum number of row writes in one transaction; 1 disables batching.
   std::size_t max_batch = 32;
   std::size_t max_body_bytes = std::size_t{16} * 1024;
-  // Bodies of answers whose rows are not written yet, all together. Beyond
-  // it only the status is stored.
+  // Maximum total size of the bodies whose rows are not written yet. Beyond it
+  // only the status is stored.
   std::size_t max_pending_body_bytes = std::size_t{8} * 1024 * 1024;
-  // Claims whose outcome is not written yet. Beyond it the newest outcome is
-  // dropped, and repeats hear "in progress", later "outcome unknown".
+  // Maximum number of claims whose outcome is not written yet. Beyond it the
+  // newest outcome is dropped, and repeats are reported as "in progress" and
+  // later as "outcome unknown".
   std::size_t max_pending_outcomes = 4096;
-  // Failures in a row after which calls are refused without asking the table.
+  // Number of consecutive failures after which calls are refused without a
+  // request to the table.
   int failures_to_open = 3;
-  // How often one request is let through while calls are refused.
+  // Interval between the trial requests that are let through while calls are
+  // refused.
   Duration trial_interval = std::chrono::seconds(1);
-  // First pause before an outcome is written again; doubles to the longest.
-  Duration first_retry = std::chrono::milliseconds(500);
-  Duration longest_retry = std::chrono::seconds(16);
-  // A claim older than its deadline by this much is told as "outcome unknown"
-  // and no longer as "in progress".
+  // Pause before the first retry of an outcome write. It doubles with each
+  // retry up to `max_retry_pause`.
+  Duration initial_retry_pause = std::chrono::milliseconds(500);
+  Duration max_retry_pause = std::chrono::seconds(16);
+  // A claim whose deadline passed more than this long ago is reported as
+  // "outcome unknown" instead of "in progress".
   Duration in_progress_grace = std::chrono::seconds(60);
 };
 
-// Counted from the start of the process.
+// Counters since the start of the process.
 struct ClaimStats {
   std::uint64_t granted = 0;
   std::uint64_t in_progress = 0;
--- a/source/core/claims/store_breaker.h
+++ b/source/core/claims/store_breaker.h
@@ -1,5 +1,5 @@
-// Remembers that the table has failed, so that calls are refused at once and
-// none is left hanging for a time-out.
+// A circuit breaker for the table: after consecutive failures calls are refused
+// immediately instead of waiting for a timeout.
 
 #ifndef BULRUSHMOUNT_CORE_CLAIMS_STORE_BREAKER_H_
 #define BULRUSHMOUNT_CORE_CLAIMS_STORE_BREAKER_H_
@@ -8,13 +8,14 @@
 
 namespace bulrushmount::detail {
 
-class StoreBreaker {
+class StoreCircuitBreaker {
  public:
-  StoreBreaker(int failures_to_open, Duration trial_interval)
+  StoreCircuitBreaker(int failures_to_open, Duration trial_interval)
       : m_failures_to_open(failures_to_open),
         m_trial_interval(trial_interval) {}
 
-  // Whether a request may be sent now. While open, one in each trial interval.
+  // Returns whether a request may be sent now. While the breaker is open, one
+  // request is let through per trial interval.
   bool Allow(TimePoint now) {
     if (!is_open())
       return true;
@@ -38,9 +39,9 @@
  private:
   int m_failures_to_open;
   Duration m_trial_interval;
-  // In a row.
+  // Consecutive failures.
   int m_failures = 0;
-  // Of meaning while open.
+  // Valid while the breaker is open.
   TimePoint m_next_trial;
 };
 
--- a/source/core/claims/write_batcher.cc
+++ b/source/core/claims/write_batcher.cc
@@ -57,8 +57,9 @@
 bool WriteBatcher::IsDue(TimePoint now) const {
   if (m_claims.size() + m_outcomes.size() >= m_settings.max_batch)
     return true;
-  // A lone claim would only lose time by waiting. While a transaction is in
-  // flight others are likely to come, and the table is spared one each.
+  // Without a transaction in flight, waiting would only delay a claim. With one
+  // in flight more claims are likely to arrive, and batching saves the table a
+  // transaction for each.
   if (!m_claims.empty() && m_in_flight == 0)
     return true;
   return NextWakeup() <= now;
@@ -143,9 +144,10 @@
   }
 }
 
-// One failed condition stops the writes of all others. Those whose row came
-// back are told; the rest goes out again without them. A condition on a row
-// that has vanished brings no row back: then each goes alone.
+// One failed condition prevents all writes of the transaction. The writes whose
+// rows are in the reply have conflicts and are reported; the others are sent
+// again without them. A condition on a row that no longer exists returns no
+// row: if there are no rows in the reply, each write is sent alone.
 void WriteBatcher::Split(TimePoint now, Batch batch, const TableReply& reply) {
   if (batch.size() == 1) {
     WriteResult result{WriteStatus::kConflict, kNoRow, std::nullopt};
--- a/source/core/claims/write_batcher.h
+++ b/source/core/claims/write_batcher.h
@@ -1,5 +1,5 @@
-// Puts row writes that come close together into one transaction, and takes a
-// transaction apart again whose conditions did not all hold.
+// Batches row writes that arrive close together into one transaction, and
+// splits a transaction whose conditions did not all hold.
 
 #ifndef BULRUSHMOUNT_CORE_CLAIMS_WRITE_BATCHER_H_
 #define BULRUSHMOUNT_CORE_CLAIMS_WRITE_BATCHER_H_
@@ -18,7 +18,7 @@
 
 namespace bulrushmount::detail {
 
-// Replaces the row at `expected` (kNoRow: inserts it).
+// Replaces the row at version `expected`, or inserts it if that is kNoRow.
 struct RowWrite {
   ClaimId claim;
   std::string key;
@@ -29,27 +29,28 @@
 enum class WriteStatus : std::uint8_t {
   kWritten,
   kConflict,
-  // May have taken effect, or may yet.
+  // The write may have taken effect, or may still do so.
   kUnknown,
-  // Certainly without effect.
+  // The write certainly had no effect.
   kUnavailable,
 };
 
 struct WriteResult {
   WriteStatus status = WriteStatus::kUnknown;
-  // With kWritten.
+  // Valid with kWritten.
   RowVersion version;
-  // With kConflict: the current row, empty if there is none.
+  // Valid with kConflict: the current row, empty if there is none.
   std::optional<Row> row;
 };
 
 enum class Urgency : std::uint8_t {
-  // A call waits for it.
+  // A call waits for the write.
   kClaim,
-  // Nobody waits yet, but a repeat of a request that has not run may come at
-  // any moment, and must find its key free even if this node is gone by then.
+  // No call waits, but a repeat of the request, which has not run, may arrive
+  // at any time. It must find the key released even if this node has failed by
+  // then.
   kRelease,
-  // Nobody waits; it goes along with the next claim, or after the window.
+  // No call waits; the write is sent with the next claim or after the window.
   kOutcome,
 };
 
@@ -59,24 +60,24 @@
    public:
     virtual ~Listener() = default;
 
-    // Once for each write. May call `Add`.
+    // Called once for each write. May call `Add`.
     virtual void OnWriteEnded(TimePoint now,
                               ClaimId claim,
                               WriteResult result) = 0;
-    // Once for each transaction, before its writes.
+    // Called once for each transaction, before the calls for its writes.
     virtual void OnTransactionEnded(TimePoint now,
                                     Duration took,
                                     TableStatus status) = 0;
   };
 
-  // All three must outlive the object.
+  // `settings`, `table` and `listener` must outlive the object.
   WriteBatcher(const ClaimSettings& settings,
                TableService& table,
                Listener& listener);
 
   void Add(TimePoint now, RowWrite write, Urgency urgency);
 
-  // Sends what has waited long enough.
+  // Sends the writes whose window has ended.
   void OnTimer(TimePoint now);
 
   TimePoint NextWakeup() const;
@@ -108,7 +109,7 @@
   const ClaimSettings& m_settings;
   TableService& m_table;
   Listener& m_listener;
-  // Each in order of `since`; claims and releases in the first.
+  // Both in order of `since`. m_claims holds claims and releases.
   Queue m_claims;
   Queue m_outcomes;
   std::size_t m_in_flight = 0;
--- a/source/unit_tests/core/claims/claim_book_test.cc
+++ b/source/unit_tests/core/claims/claim_book_test.cc
@@ -1,4 +1,5 @@
-// Failures of the table and of claimants, one by one.
+// Tests of `core/claims/claim_book.h`, one for each failure of the table or of
+// a claimant.
 
 #include "core/claims/claim_book.h"
 
@@ -16,7 +17,8 @@
 using std::chrono_literals::operator""ms;
 using std::chrono_literals::operator""s;
 
-// What a repeat at another node is told once the first call has ended so.
+// The result of a repeat at another node after the first call ended with
+// `ending`.
 struct RepeatCase {
   const char* name;
   Ending ending;
@@ -27,18 +29,18 @@
 
 class RepeatTest : public testing::TestWithParam<RepeatCase> {};
 
-TEST_P(RepeatTest, IsTold) {
-  ClaimWorld world(2);
-  const std::size_t first = world.Send(0, "k", 1);
-  world.DrainAll();
-  world.GoOn(first, GetParam().ending);
-  world.Pass(60ms);
-  world.DrainAll();
-  world.Pass(GetParam().later);
-  const std::size_t repeat = world.Send(1, "k", GetParam().fingerprint);
-  world.DrainAll();
-  EXPECT_EQ(world.StatusOf(repeat), GetParam().expected);
-  EXPECT_EQ(world.book(1).size(),
+TEST_P(RepeatTest, GetsTheExpectedStatus) {
+  ClaimCluster cluster(2);
+  const std::size_t first = cluster.Send(0, "k", 1);
+  cluster.DrainAll();
+  cluster.EndCall(first, GetParam().ending);
+  cluster.Advance(60ms);
+  cluster.DrainAll();
+  cluster.Advance(GetParam().later);
+  const std::size_t repeat = cluster.Send(1, "k", GetParam().fingerprint);
+  cluster.DrainAll();
+  EXPECT_EQ(cluster.StatusOf(repeat), GetParam().expected);
+  EXPECT_EQ(cluster.book(1).size(),
             GetParam().expected == ClaimStatus::kGranted ? 1U : 0U);
 }
 
@@ -64,307 +66,310 @@
                    ClaimStatus::kGranted}),
     [](const auto& info) { return info.param.name; });
 
-// Symptom: a claimed booking is refused, and its key is blocked. Sequence: the
-// insert takes effect, its answer is lost. Cause: no read-back by token.
+// Guards against refusing a claimed request and blocking its key: the insert
+// takes effect, its reply is lost, and the row must be read back and recognized
+// by its token.
 TEST(ClaimBookTest, LostAnswerIsReadBack) {
-  ClaimWorld world(1);
-  const std::size_t sent = world.Send(0, "k");
-  world.Settle(0, Fate::kAnswerLost);
-  world.DrainAll();
-  EXPECT_EQ(world.StatusOf(sent), ClaimStatus::kGranted);
-  EXPECT_EQ(world.book(0).stats().reads, 1U);
-  EXPECT_EQ(world.book(0).stats().row_writes, 1U);
+  ClaimCluster cluster(1);
+  const std::size_t sent = cluster.Send(0, "k");
+  cluster.Resolve(0, Fate::kAnswerLost);
+  cluster.DrainAll();
+  EXPECT_EQ(cluster.StatusOf(sent), ClaimStatus::kGranted);
+  EXPECT_EQ(cluster.book(0).stats().reads, 1U);
+  EXPECT_EQ(cluster.book(0).stats().row_writes, 1U);
 }
 
-// Symptom: a booking that never ran is told as in progress for a day. Sequence:
-// the insert times out and its read-back fails; the caller is refused; the
-// insert lands after all. Cause: nothing was written to keep it out.
+// Guards against reporting a request that never ran as in progress for a day:
+// the insert times out, its read-back fails, the caller is refused, and the
+// insert is applied after all. A write under the same condition must prevent
+// it.
 TEST(ClaimBookTest, InsertThatLandsAfterTheRefusalIsKeptOut) {
-  ClaimWorld world(2);
-  const std::size_t refused = world.Send(0, "k");
-  world.Settle(0, Fate::kLandsLate);
-  world.Deliver(0);
-  world.Settle(0, Fate::kDown);
-  world.Deliver(0);
-  EXPECT_EQ(world.StatusOf(refused), ClaimStatus::kStoreUnavailable);
-  world.Pass(1s);
-  world.DrainAll();
-  world.Pass(1s);
-  world.DrainAll();
-  world.Land(0);
-  const std::size_t again = world.Send(1, "k");
-  world.DrainAll();
-  EXPECT_EQ(world.StatusOf(again), ClaimStatus::kGranted);
+  ClaimCluster cluster(2);
+  const std::size_t refused = cluster.Send(0, "k");
+  cluster.Resolve(0, Fate::kAppliedLate);
+  cluster.Deliver(0);
+  cluster.Resolve(0, Fate::kUnavailable);
+  cluster.Deliver(0);
+  EXPECT_EQ(cluster.StatusOf(refused), ClaimStatus::kStoreUnavailable);
+  cluster.Advance(1s);
+  cluster.DrainAll();
+  cluster.Advance(1s);
+  cluster.DrainAll();
+  cluster.ApplyLate(0);
+  const std::size_t again = cluster.Send(1, "k");
+  cluster.DrainAll();
+  EXPECT_EQ(cluster.StatusOf(again), ClaimStatus::kGranted);
 }
 
-// Symptom: the same. Sequence: the insert times out, the read-back finds no
-// row, and the second insert meets a refused connection; then the first lands.
-// Cause: "unavailable" of the second was taken for the fate of both.
+// Guards against the same failure: the insert times out, the read-back finds no
+// row, the connection for the second insert is refused, and the first insert is
+// applied. The "unavailable" of the second insert does not settle the first.
 TEST(ClaimBookTest, InsertThatLandsAfterAnUnavailableOneIsKeptOut) {
-  ClaimWorld world(2);
-  const std::size_t refused = world.Send(0, "k");
-  for (const Fate fate : {Fate::kLandsLate, Fate::kAnswered, Fate::kDown}) {
-    world.Settle(0, fate);
-    world.Deliver(0);
+  ClaimCluster cluster(2);
+  const std::size_t refused = cluster.Send(0, "k");
+  for (const Fate fate :
+       {Fate::kAppliedLate, Fate::kAnswered, Fate::kUnavailable}) {
+    cluster.Resolve(0, fate);
+    cluster.Deliver(0);
   }
-  EXPECT_EQ(world.StatusOf(refused), ClaimStatus::kStoreUnavailable);
-  world.Land(0);
-  world.Pass(1s);
-  world.Pass(60ms);
-  world.DrainAll();
-  world.Pass(60ms);
-  world.DrainAll();
-  const std::size_t again = world.Send(1, "k");
-  world.DrainAll();
-  EXPECT_EQ(world.StatusOf(again), ClaimStatus::kGranted);
+  EXPECT_EQ(cluster.StatusOf(refused), ClaimStatus::kStoreUnavailable);
+  cluster.ApplyLate(0);
+  cluster.Advance(1s);
+  cluster.Advance(60ms);
+  cluster.DrainAll();
+  cluster.Advance(60ms);
+  cluster.DrainAll();
+  const std::size_t again = cluster.Send(1, "k");
+  cluster.DrainAll();
+  EXPECT_EQ(cluster.StatusOf(again), ClaimStatus::kGranted);
 }
 
-// Symptom: the same, although the claim was released. Sequence: the first
-// insert is late, the second succeeds; the claim is released; the first lands.
-// Cause: the release deleted the row.
+// Guards against the same failure after a release: the first insert is late,
+// the second succeeds, the claim is released, and the first insert is applied.
+// This happens if the release deletes the row.
 TEST(ClaimBookTest, InsertThatLandsAfterTheReleaseIsKeptOut) {
-  ClaimWorld world(2);
-  const std::size_t first = world.Send(0, "k");
-  world.Settle(0, Fate::kLandsLate);
-  world.DrainAll();
-  ASSERT_EQ(world.StatusOf(first), ClaimStatus::kGranted);
-  world.GoOn(first, Ending::kRelease);
-  world.Pass(60ms);
-  world.DrainAll();
-  world.Land(0);
-  const std::size_t again = world.Send(1, "k");
-  world.DrainAll();
-  EXPECT_EQ(world.StatusOf(again), ClaimStatus::kGranted);
+  ClaimCluster cluster(2);
+  const std::size_t first = cluster.Send(0, "k");
+  cluster.Resolve(0, Fate::kAppliedLate);
+  cluster.DrainAll();
+  ASSERT_EQ(cluster.StatusOf(first), ClaimStatus::kGranted);
+  cluster.EndCall(first, Ending::kRelease);
+  cluster.Advance(60ms);
+  cluster.DrainAll();
+  cluster.ApplyLate(0);
+  const std::size_t again = cluster.Send(1, "k");
+  cluster.DrainAll();
+  EXPECT_EQ(cluster.StatusOf(again), ClaimStatus::kGranted);
 }
 
-// Symptom: a repeat of a booking that was not run hears for a day that its
-// outcome is unknown. Sequence: the target sheds it, the claim is released, and
-// its node is killed 20 ms later. Cause: the release waited with the outcomes,
-// which are in no haste.
+// Guards against reporting a request that did not run as "outcome unknown" for
+// a day: the target sheds it, the claim is released, and its node is killed 20
+// ms later. The write of a release must not wait as long as that of an outcome.
 TEST(ClaimBookTest, AReleaseOutlivesItsNode) {
-  ClaimWorld world(2);
-  const std::size_t first = world.Send(0, "k");
-  world.DrainAll();
-  world.GoOn(first, Ending::kRelease);
-  world.Pass(20ms);
-  world.DrainAll();
-  world.Crash(0);
-  const std::size_t again = world.Send(1, "k");
-  world.DrainAll();
-  EXPECT_EQ(world.StatusOf(again), ClaimStatus::kGranted);
+  ClaimCluster cluster(2);
+  const std::size_t first = cluster.Send(0, "k");
+  cluster.DrainAll();
+  cluster.EndCall(first, Ending::kRelease);
+  cluster.Advance(20ms);
+  cluster.DrainAll();
+  cluster.Crash(0);
+  const std::size_t again = cluster.Send(1, "k");
+  cluster.DrainAll();
+  EXPECT_EQ(cluster.StatusOf(again), ClaimStatus::kGranted);
 }
 
-// Symptom: a publisher is charged twice. Sequence: the claimant is frozen with
-// its grant on the way; its caller gives up and sends again elsewhere; the
-// claimant wakes. Cause: the claim was taken over, or the deadline not checked.
+// Guards against a request that runs twice: the claimant is frozen while its
+// grant is in transit, its caller gives up and sends again to another node, and
+// the claimant resumes. The claim must not be taken over, and the deadline must
+// be checked.
 TEST(ClaimBookTest, ClaimantFrozenBeforeItsGrantRunsNothing) {
-  ClaimWorld world(2);
-  const std::size_t first = world.Send(0, "k");
-  world.Settle(0, Fate::kAnswered);
-  world.SetFrozen(0, true);
-  world.Pass(30s);
-  const std::size_t repeat = world.Send(1, "k");
-  world.DrainAll();
-  EXPECT_EQ(world.StatusOf(repeat), ClaimStatus::kInProgress);
-  world.SetFrozen(0, false);
-  world.DrainAll();
-  EXPECT_EQ(world.StatusOf(first), ClaimStatus::kStoreUnavailable);
-  world.Pass(2s);
-  world.DrainAll();
-  const std::size_t later = world.Send(1, "k");
-  world.DrainAll();
-  EXPECT_EQ(world.StatusOf(later), ClaimStatus::kGranted);
+  ClaimCluster cluster(2);
+  const std::size_t first = cluster.Send(0, "k");
+  cluster.Resolve(0, Fate::kAnswered);
+  cluster.SetFrozen(0, true);
+  cluster.Advance(30s);
+  const std::size_t repeat = cluster.Send(1, "k");
+  cluster.DrainAll();
+  EXPECT_EQ(cluster.StatusOf(repeat), ClaimStatus::kInProgress);
+  cluster.SetFrozen(0, false);
+  cluster.DrainAll();
+  EXPECT_EQ(cluster.StatusOf(first), ClaimStatus::kStoreUnavailable);
+  cluster.Advance(2s);
+  cluster.DrainAll();
+  const std::size_t later = cluster.Send(1, "k");
+  cluster.DrainAll();
+  EXPECT_EQ(cluster.StatusOf(later), ClaimStatus::kGranted);
 }
 
-// As above, but frozen between the grant and the dispatch.
+// The same, but frozen between the grant and the dispatch.
 TEST(ClaimBookTest, ClaimantFrozenBeforeItsDispatchRunsNothing) {
-  ClaimWorld world(1);
-  const std::size_t sent = world.Send(0, "k");
-  world.DrainAll();
-  ASSERT_EQ(world.StatusOf(sent), ClaimStatus::kGranted);
-  const ClaimId claim = world.sends().at(sent).claim;
-  EXPECT_TRUE(world.book(0).CheckBeforeDispatch(world.now(), claim));
-  world.Pass(2s);
-  EXPECT_FALSE(world.book(0).CheckBeforeDispatch(world.now(), claim));
-  world.book(0).Release(world.now(), claim);
-  EXPECT_FALSE(world.book(0).CheckBeforeDispatch(world.now(), claim));
+  ClaimCluster cluster(1);
+  const std::size_t sent = cluster.Send(0, "k");
+  cluster.DrainAll();
+  ASSERT_EQ(cluster.StatusOf(sent), ClaimStatus::kGranted);
+  const ClaimId claim = cluster.sends().at(sent).claim;
+  EXPECT_TRUE(cluster.book(0).CheckBeforeDispatch(cluster.now(), claim));
+  cluster.Advance(2s);
+  EXPECT_FALSE(cluster.book(0).CheckBeforeDispatch(cluster.now(), claim));
+  cluster.book(0).Release(cluster.now(), claim);
+  EXPECT_FALSE(cluster.book(0).CheckBeforeDispatch(cluster.now(), claim));
 }
 
-// Symptom: a folio is drawn twice. Sequence: the claimant dispatches and is
-// killed; the caller sends again at each node for an hour. Cause: another node
-// took the claim over.
+// Guards against a request that runs twice: the claimant dispatches it and is
+// killed, and the caller repeats it at each node for an hour. No other node may
+// take the claim over.
 TEST(ClaimBookTest, ClaimOfAKilledNodeIsNeverTakenOver) {
-  ClaimWorld world(3);
-  world.Send(0, "k");
-  world.DrainAll();
-  world.Crash(0);
+  ClaimCluster cluster(3);
+  cluster.Send(0, "k");
+  cluster.DrainAll();
+  cluster.Crash(0);
   for (std::size_t node = 0; node < 3; ++node) {
-    world.Pass(1200s);
-    const std::size_t repeat = world.Send(node, "k");
-    world.DrainAll();
-    EXPECT_EQ(world.StatusOf(repeat), ClaimStatus::kEarlierOutcomeUnknown);
+    cluster.Advance(1200s);
+    const std::size_t repeat = cluster.Send(node, "k");
+    cluster.DrainAll();
+    EXPECT_EQ(cluster.StatusOf(repeat), ClaimStatus::kEarlierOutcomeUnknown);
   }
 }
 
-// Symptom: callers hang while the store is down. Sequence: an outage of 5 s
-// with 10 calls a second. Cause: each call asked the table anew.
+// Guards against calls that wait while the store is down, because each of them
+// sends a request to the table: an outage of 5 s with 10 calls per second.
 TEST(ClaimBookTest, FailingStoreRefusesAtOnceAndIsTriedOnceASecond) {
-  ClaimWorld world(1);
-  std::size_t asked = 0;
+  ClaimCluster cluster(1);
+  std::size_t table_requests = 0;
   for (int call = 0; call < 50; ++call) {
-    const std::size_t sent = world.Send(0, "k" + std::to_string(call));
-    asked += world.waiting();
-    world.Settle(0, Fate::kDown);
-    world.Deliver(0);
-    EXPECT_EQ(world.StatusOf(sent), ClaimStatus::kStoreUnavailable);
-    world.Pass(100ms);
+    const std::size_t sent = cluster.Send(0, "k" + std::to_string(call));
+    table_requests += cluster.waiting();
+    cluster.Resolve(0, Fate::kUnavailable);
+    cluster.Deliver(0);
+    EXPECT_EQ(cluster.StatusOf(sent), ClaimStatus::kStoreUnavailable);
+    cluster.Advance(100ms);
   }
-  EXPECT_EQ(asked, 3U + 4U);
-  EXPECT_TRUE(world.book(0).is_store_failing());
-  world.Pass(1s);
-  const std::size_t trial = world.Send(0, "trial");
-  world.DrainAll();
-  EXPECT_EQ(world.StatusOf(trial), ClaimStatus::kGranted);
-  EXPECT_FALSE(world.book(0).is_store_failing());
+  EXPECT_EQ(table_requests, 3U + 4U);
+  EXPECT_TRUE(cluster.book(0).is_store_failing());
+  cluster.Advance(1s);
+  const std::size_t trial = cluster.Send(0, "trial");
+  cluster.DrainAll();
+  EXPECT_EQ(cluster.StatusOf(trial), ClaimStatus::kGranted);
+  EXPECT_FALSE(cluster.book(0).is_store_failing());
 }
 
-// Symptom: a call hangs until its deadline. Sequence: the store does not answer
-// at all. Cause: the claim waited for the adapter's time-out.
+// Guards against a call that waits until its deadline while the store does not
+// reply at all, because the claim waits for the timeout of the adapter.
 TEST(ClaimBookTest, SilentStoreRefusesAfterTheLongestWait) {
-  ClaimWorld world(1);
-  const std::size_t sent = world.Send(0, "k");
-  EXPECT_EQ(world.book(0).NextWakeup(), world.now() + 1s);
-  world.Pass(1s);
-  EXPECT_EQ(world.StatusOf(sent), ClaimStatus::kStoreUnavailable);
-  world.Settle(0, Fate::kAnswered);
-  world.Deliver(0);
-  EXPECT_FALSE(world.book(0).CheckBeforeDispatch(world.now(),
-                                                 world.sends().at(sent).claim));
-  world.Pass(60ms);
-  world.DrainAll();
-  EXPECT_EQ(world.book(0).size(), 0U);
+  ClaimCluster cluster(1);
+  const std::size_t sent = cluster.Send(0, "k");
+  EXPECT_EQ(cluster.book(0).NextWakeup(), cluster.now() + 1s);
+  cluster.Advance(1s);
+  EXPECT_EQ(cluster.StatusOf(sent), ClaimStatus::kStoreUnavailable);
+  cluster.Resolve(0, Fate::kAnswered);
+  cluster.Deliver(0);
+  EXPECT_FALSE(cluster.book(0).CheckBeforeDispatch(
+      cluster.now(), cluster.sends().at(sent).claim));
+  cluster.Advance(60ms);
+  cluster.DrainAll();
+  EXPECT_EQ(cluster.book(0).size(), 0U);
 }
 
-// Symptom: one repeat spoils the claims that shared its transaction. Sequence:
-// four claims while one is in flight, one of a key that is taken. Cause: the
-// conflict was told to all four.
+// Guards against a conflict of one claim that fails the others in its
+// transaction: four claims are batched while a transaction is in flight, and
+// the key of one is taken.
 TEST(ClaimBookTest, ConflictIsSplitOutOfItsBatch) {
-  ClaimWorld world(2);
-  world.Send(1, "taken");
-  world.DrainAll();
-  world.Send(0, "lone");
+  ClaimCluster cluster(2);
+  cluster.Send(1, "taken");
+  cluster.DrainAll();
+  cluster.Send(0, "lone");
   const std::vector<std::string> keys = {"a", "taken", "b", "c"};
   std::vector<std::size_t> sends;
   sends.reserve(keys.size());
   for (const std::string& key : keys)
-    sends.push_back(world.Send(0, key));
-  EXPECT_EQ(world.waiting(), 1U);
-  world.Pass(1ms);
-  EXPECT_EQ(world.waiting(), 2U);
-  world.DrainAll();
+    sends.push_back(cluster.Send(0, key));
+  EXPECT_EQ(cluster.waiting(), 1U);
+  cluster.Advance(1ms);
+  EXPECT_EQ(cluster.waiting(), 2U);
+  cluster.DrainAll();
   for (std::size_t index = 0; index < keys.size(); ++index) {
-    EXPECT_EQ(world.StatusOf(sends[index]), keys[index] == "taken"
-                                                ? ClaimStatus::kInProgress
-                                                : ClaimStatus::kGranted);
+    EXPECT_EQ(cluster.StatusOf(sends[index]), keys[index] == "taken"
+                                                  ? ClaimStatus::kInProgress
+                                                  : ClaimStatus::kGranted);
   }
-  EXPECT_EQ(world.book(0).stats().transactions, 3U);
+  EXPECT_EQ(cluster.book(0).stats().transactions, 3U);
 }
 
-TEST(ClaimBookTest, TwoCallsOfOneNodeMeetWithoutTheTable) {
-  ClaimWorld world(1);
-  const std::size_t first = world.Send(0, "k");
-  const std::size_t second = world.Send(0, "k");
-  EXPECT_EQ(world.waiting(), 1U);
-  EXPECT_EQ(world.StatusOf(second), ClaimStatus::kInProgress);
-  world.DrainAll();
-  EXPECT_EQ(world.StatusOf(first), ClaimStatus::kGranted);
+TEST(ClaimBookTest, ConcurrentCallsOfOneNodeConflictWithoutTheTable) {
+  ClaimCluster cluster(1);
+  const std::size_t first = cluster.Send(0, "k");
+  const std::size_t second = cluster.Send(0, "k");
+  EXPECT_EQ(cluster.waiting(), 1U);
+  EXPECT_EQ(cluster.StatusOf(second), ClaimStatus::kInProgress);
+  cluster.DrainAll();
+  EXPECT_EQ(cluster.StatusOf(first), ClaimStatus::kGranted);
 }
 
-// Symptom: a booking that ran is told as in progress for ever. Sequence: the
-// store goes down between grant and outcome, for a minute. Cause: the outcome
-// was tried once.
+// Guards against reporting a request that ran as in progress forever: the store
+// is down for a minute between grant and outcome, and the write of the outcome
+// is not retried.
 TEST(ClaimBookTest, OutcomeIsWrittenAfterAnOutage) {
-  ClaimWorld world(2);
-  const std::size_t first = world.Send(0, "k");
-  world.DrainAll();
-  world.GoOn(first, Ending::kFinish);
+  ClaimCluster cluster(2);
+  const std::size_t first = cluster.Send(0, "k");
+  cluster.DrainAll();
+  cluster.EndCall(first, Ending::kFinish);
   for (int second = 0; second < 60; ++second) {
-    world.Pass(1s);
-    world.Settle(0, Fate::kDown);
-    world.Deliver(0);
+    cluster.Advance(1s);
+    cluster.Resolve(0, Fate::kUnavailable);
+    cluster.Deliver(0);
   }
-  const std::size_t local = world.Send(0, "k");
-  EXPECT_EQ(world.StatusOf(local), ClaimStatus::kFinished);
+  const std::size_t local = cluster.Send(0, "k");
+  EXPECT_EQ(cluster.StatusOf(local), ClaimStatus::kFinished);
   for (int round = 0; round < 3; ++round) {
-    world.Pass(17s);
-    world.DrainAll();
+    cluster.Advance(17s);
+    cluster.DrainAll();
   }
-  const std::size_t remote = world.Send(1, "k");
-  world.DrainAll();
-  ASSERT_EQ(world.StatusOf(remote), ClaimStatus::kFinished);
-  EXPECT_EQ(world.sends().at(remote).result->answer, AnswerOfRun(first));
-  EXPECT_EQ(world.book(0).size(), 0U);
+  const std::size_t remote = cluster.Send(1, "k");
+  cluster.DrainAll();
+  ASSERT_EQ(cluster.StatusOf(remote), ClaimStatus::kFinished);
+  EXPECT_EQ(cluster.sends().at(remote).result->answer, AnswerOfRun(first));
+  EXPECT_EQ(cluster.book(0).size(), 0U);
 }
 
-// Symptom: a node's memory fills during an outage. Cause: outcomes that cannot
-// be written are kept without bound.
+// Guards against unbounded memory use during an outage, while outcomes cannot
+// be written.
 TEST(ClaimBookTest, OutcomesThatWaitAreBounded) {
   ClaimSettings settings;
   settings.max_pending_outcomes = 2;
   settings.max_pending_body_bytes = 30;
-  ClaimWorld world(1, settings);
+  ClaimCluster cluster(1, settings);
   for (const char* key : {"a", "b", "c"})
-    world.Send(0, key);
-  world.Pass(1ms);
-  world.DrainAll();
-  world.EndAllGranted(Ending::kFinish);
-  EXPECT_EQ(world.book(0).size(), 2U);
-  EXPECT_EQ(world.book(0).stats().outcomes_dropped, 1U);
-  EXPECT_GE(world.book(0).stats().bodies_not_kept, 1U);
+    cluster.Send(0, key);
+  cluster.Advance(1ms);
+  cluster.DrainAll();
+  cluster.EndAllGranted(Ending::kFinish);
+  EXPECT_EQ(cluster.book(0).size(), 2U);
+  EXPECT_EQ(cluster.book(0).stats().outcomes_dropped, 1U);
+  EXPECT_GE(cluster.book(0).stats().bodies_not_kept, 1U);
 }
 
-TEST(ClaimBookTest, LargeAnswerIsToldTruthfullyWithoutItsBody) {
-  ClaimWorld world(1);
-  const std::size_t sent = world.Send(0, "k");
-  world.DrainAll();
-  world.book(0).Finish(world.now(), world.sends().at(sent).claim,
-                       {201, "text/plain", std::string(16 * 1024 + 1, 'x')});
-  world.Pass(60ms);
-  world.DrainAll();
-  const std::size_t repeat = world.Send(0, "k");
-  world.DrainAll();
-  ASSERT_EQ(world.StatusOf(repeat), ClaimStatus::kFinished);
-  const StoredAnswer& answer = world.sends().at(repeat).result->answer;
+TEST(ClaimBookTest, LargeAnswerIsReplayedAsAConflictWithoutItsBody) {
+  ClaimCluster cluster(1);
+  const std::size_t sent = cluster.Send(0, "k");
+  cluster.DrainAll();
+  cluster.book(0).Finish(cluster.now(), cluster.sends().at(sent).claim,
+                         {201, "text/plain", std::string(16 * 1024 + 1, 'x')});
+  cluster.Advance(60ms);
+  cluster.DrainAll();
+  const std::size_t repeat = cluster.Send(0, "k");
+  cluster.DrainAll();
+  ASSERT_EQ(cluster.StatusOf(repeat), ClaimStatus::kFinished);
+  const StoredAnswer& answer = cluster.sends().at(repeat).result->answer;
   EXPECT_FALSE(answer.is_body_kept);
   EXPECT_EQ(ToReplay(answer).status, 409);
   EXPECT_NE(ToReplay(answer).body.find("201"), std::string::npos);
 }
 
-// Symptom: a key stays blocked after its caller hung up. Sequence: the caller
-// goes while the insert is on its way. Cause: the claim was forgotten.
+// Guards against a key that stays blocked after its caller disconnects while
+// the insert is in transit, because the claim is dropped without a release.
 TEST(ClaimBookTest, CallerThatGoesWhileAcquiringLeavesNoClaim) {
-  ClaimWorld world(2);
-  const std::size_t first = world.Send(0, "k");
-  world.book(0).Release(world.now(), world.sends().at(first).claim);
-  world.DrainAll();
-  world.Pass(60ms);
-  world.DrainAll();
-  EXPECT_EQ(world.sends().at(first).callbacks, 0);
-  const std::size_t again = world.Send(1, "k");
-  world.DrainAll();
-  EXPECT_EQ(world.StatusOf(again), ClaimStatus::kGranted);
+  ClaimCluster cluster(2);
+  const std::size_t first = cluster.Send(0, "k");
+  cluster.book(0).Release(cluster.now(), cluster.sends().at(first).claim);
+  cluster.DrainAll();
+  cluster.Advance(60ms);
+  cluster.DrainAll();
+  EXPECT_EQ(cluster.sends().at(first).callbacks, 0);
+  const std::size_t again = cluster.Send(1, "k");
+  cluster.DrainAll();
+  EXPECT_EQ(cluster.StatusOf(again), ClaimStatus::kGranted);
 }
 
-// Symptom: a booking runs twice across an upgrade. Sequence: a node meets a row
-// in a form of a later release. Cause: it was read as no row.
+// Guards against a request that runs twice across an upgrade: a row in the
+// format of a later release must not be read as no row.
 TEST(ClaimBookTest, UnreadableRowCountsAsOutcomeUnknown) {
-  ClaimWorld world(1);
+  ClaimCluster cluster(1);
   const std::string key =
       detail::ClaimRowKey(WorkspaceName("publisher"), IdempotencyKey("k"));
-  world.table().Apply(TableTransact{{}, {{key, "\xff\xff"}}, {}});
-  const std::size_t sent = world.Send(0, "k");
-  world.DrainAll();
-  EXPECT_EQ(world.StatusOf(sent), ClaimStatus::kEarlierOutcomeUnknown);
+  cluster.table().Apply(TableTransact{{}, {{key, "\xff\xff"}}, {}});
+  const std::size_t sent = cluster.Send(0, "k");
+  cluster.DrainAll();
+  EXPECT_EQ(cluster.StatusOf(sent), ClaimStatus::kEarlierOutcomeUnknown);
 }
 
 }  // namespace
--- a/source/unit_tests/core/claims/claim_history_test.cc
+++ b/source/unit_tests/core/claims/claim_history_test.cc
@@ -1,5 +1,5 @@
 // Random histories of several nodes, their callers and a faulty table. The
-// verdict is read from the ledger of runs, and from a naive version.
+// results are checked against the recorded runs and against a reference.
 
 #include <array>
 #include <cstddef>
@@ -23,36 +23,37 @@
 
 enum class Op : std::uint8_t {
   kSend,
-  kSettle,
+  kResolve,
   kDeliver,
-  kGoOn,
-  kLand,
-  kPass,
+  kEndCall,
+  kApplyLate,
+  kAdvance,
   kCrash,
   kFreeze,
   kResume,
 };
 
 // In the order of `Op`.
-constexpr std::array kOpNames = {"send", "settle", "deliver", "go-on", "land",
-                                 "pass", "crash",  "freeze",  "resume"};
+constexpr std::array kOpNames = {"send",     "resolve",    "deliver",
+                                 "end-call", "apply-late", "advance",
+                                 "crash",    "freeze",     "resume"};
 
-// Names the command where RapidCheck prints a history that fails.
+// Prints the name of the step when RapidCheck reports a failing history.
 void showValue(Op op, std::ostream& out) {  // NOLINT(*-naming): found by ADL
   out << kOpNames.at(static_cast<std::size_t>(op));
 }
 
-// One command with two arguments, each taken modulo what is there.
+// One step with two arguments; each is taken modulo the number of choices.
 using Step = std::tuple<Op, std::uint8_t, std::uint8_t>;
 
 rc::Gen<Op> AnyOp(bool with_crashes) {
   const std::size_t crashes = with_crashes ? 1 : 0;
   return rc::gen::weightedElement<Op>({{6, Op::kSend},
-                                       {8, Op::kSettle},
+                                       {8, Op::kResolve},
                                        {8, Op::kDeliver},
-                                       {5, Op::kGoOn},
-                                       {2, Op::kLand},
-                                       {3, Op::kPass},
+                                       {5, Op::kEndCall},
+                                       {2, Op::kApplyLate},
+                                       {3, Op::kAdvance},
                                        {crashes, Op::kCrash},
                                        {1, Op::kFreeze},
                                        {2, Op::kResume}});
@@ -65,7 +66,7 @@
   return rc::gen::scale(3.0, rc::gen::container<std::vector<Step>>(step));
 }
 
-// Half of the requests fare well.
+// More than half of the requests are applied and answered.
 Fate FateOf(std::uint8_t number) {
   const std::size_t fate = number % (2 * kFateCount);
   return fate < kFateCount ? static_cast<Fate>(fate) : Fate::kAnswered;
@@ -79,120 +80,121 @@
   return "key-" + std::to_string(number % kKeys);
 }
 
-// Carries on one of the granted calls that have not ended.
-void GoOnWithAny(ClaimWorld& world, std::size_t nth, Ending ending) {
+// Ends one of the granted calls that have not ended.
+void EndAnyCall(ClaimCluster& cluster, std::size_t nth, Ending ending) {
   std::vector<std::size_t> granted;
-  for (std::size_t sent = 0; sent < world.sends().size(); ++sent) {
-    const bool is_granted = world.sends()[sent].result &&
-                            world.StatusOf(sent) == ClaimStatus::kGranted;
-    if (is_granted && !world.sends()[sent].is_ended)
+  for (std::size_t sent = 0; sent < cluster.sends().size(); ++sent) {
+    const bool is_granted = cluster.sends()[sent].result &&
+                            cluster.StatusOf(sent) == ClaimStatus::kGranted;
+    if (is_granted && !cluster.sends()[sent].is_ended)
       granted.push_back(sent);
   }
   if (!granted.empty())
-    world.GoOn(granted.at(nth % granted.size()), ending);
+    cluster.EndCall(granted.at(nth % granted.size()), ending);
 }
 
-void Do(ClaimWorld& world, const Step& step) {
+void RunStep(ClaimCluster& cluster, const Step& step) {
   const auto [op, first, second] = step;
   switch (op) {
     case Op::kSend:
-      world.Send(first % kNodes, KeyOf(second));
+      cluster.Send(first % kNodes, KeyOf(second));
       return;
-    case Op::kSettle:
-      world.Settle(first, FateOf(second));
+    case Op::kResolve:
+      cluster.Resolve(first, FateOf(second));
       return;
     case Op::kDeliver:
-      world.Deliver(first);
+      cluster.Deliver(first);
       return;
-    case Op::kGoOn:
-      GoOnWithAny(world, first, static_cast<Ending>(second % 3));
+    case Op::kEndCall:
+      EndAnyCall(cluster, first, static_cast<Ending>(second % 3));
       return;
-    case Op::kLand:
-      world.Land(first);
+    case Op::kApplyLate:
+      cluster.ApplyLate(first);
       return;
-    case Op::kPass:
-      world.Pass(TimeOf(first));
+    case Op::kAdvance:
+      cluster.Advance(TimeOf(first));
       return;
     case Op::kCrash:
-      world.Crash(first % kNodes);
+      cluster.Crash(first % kNodes);
       return;
     case Op::kFreeze:
-      world.SetFrozen(first % kNodes, true);
+      cluster.SetFrozen(first % kNodes, true);
       return;
     case Op::kResume:
-      world.SetFrozen(first % kNodes, false);
+      cluster.SetFrozen(first % kNodes, false);
       return;
   }
 }
 
-void CheckVerdict(const ClaimWorld& world) {
-  for (const auto& [key, runs] : world.runs())
+void CheckInvariants(const ClaimCluster& cluster) {
+  for (const auto& [key, runs] : cluster.runs())
     RC_ASSERT(runs.size() <= 1U);
-  for (const Sent& call : world.sends()) {
+  for (const Sent& call : cluster.sends()) {
     RC_ASSERT(call.callbacks <= 1);
     if (!call.result || call.result->status != ClaimStatus::kFinished)
       continue;
-    const auto runs = world.runs().find(call.key);
-    RC_ASSERT(runs != world.runs().end());
+    const auto runs = cluster.runs().find(call.key);
+    RC_ASSERT(runs != cluster.runs().end());
     RC_ASSERT(call.result->answer == AnswerOfRun(runs->second.front()));
   }
 }
 
-void Heal(ClaimWorld& world) {
+void RecoverFromFaults(ClaimCluster& cluster) {
   for (std::size_t node = 0; node < kNodes; ++node)
-    world.SetFrozen(node, false);
+    cluster.SetFrozen(node, false);
   do {
-    world.DrainAll();
-    world.EndAllGranted(Ending::kRelease);
-    world.Land(0);
-  } while (world.PassToNextWakeup() || world.waiting() > 0);
+    cluster.DrainAll();
+    cluster.EndAllGranted(Ending::kRelease);
+    cluster.ApplyLate(0);
+  } while (cluster.AdvanceToNextWakeup() || cluster.waiting() > 0);
 }
 
-// Symptom: a workspace is charged twice. Sequence: any mix of repeats at
-// several nodes, lost answers, writes that land late, crashes, freezes and
-// outages. Cause: a claim was granted while another could still be dispatched.
+// Guards against a request that runs twice because a claim was granted while
+// another could still be dispatched. The steps are any mix of repeats at
+// several nodes, lost replies, writes that are applied late, crashes, freezes
+// and outages.
 RC_GTEST_PROP(ClaimHistory, RunsAtMostOnce, ()) {
-  ClaimWorld world(kNodes);
+  ClaimCluster cluster(kNodes);
   for (const Step& step : *AnyHistory(true))
-    Do(world, step);
-  CheckVerdict(world);
-  Heal(world);
-  CheckVerdict(world);
+    RunStep(cluster, step);
+  CheckInvariants(cluster);
+  RecoverFromFaults(cluster);
+  CheckInvariants(cluster);
 }
 
-// Symptom: a caller is left hanging. Sequence: any, without a crash of its
-// node. Cause: a step without a timer behind it.
-void CheckNoneHangs(const ClaimWorld& world) {
-  for (const Sent& call : world.sends()) {
+// Guards against a caller that never gets a result, which happens if a step has
+// no timer, in any history without a crash of its node.
+void CheckAllAnswered(const ClaimCluster& cluster) {
+  for (const Sent& call : cluster.sends()) {
     const bool reached_its_node = call.claim != ClaimId();
     RC_ASSERT(call.callbacks == (reached_its_node ? 1 : 0));
   }
 }
 
-// Symptom: a booking that never ran is refused for a day. Sequence: a claim's
-// insert or release lost its answer, and nobody put it right. Cause: a claim
-// was left behind in the table while its node lived.
+// Guards against refusing a request that never ran for a day: the reply to the
+// insert or to the release of a claim was lost, and the claimed row stayed in
+// the table although its node was alive.
 RC_GTEST_PROP(ClaimHistory, LeavesNoClaimBehindWithoutCrashes, ()) {
-  ClaimWorld world(kNodes);
+  ClaimCluster cluster(kNodes);
   for (const Step& step : *AnyHistory(false))
-    Do(world, step);
-  Heal(world);
-  CheckVerdict(world);
-  CheckNoneHangs(world);
-  // A node that remembers failures tries again within this time.
-  world.Pass(ClaimSettings().trial_interval);
+    RunStep(cluster, step);
+  RecoverFromFaults(cluster);
+  CheckInvariants(cluster);
+  CheckAllAnswered(cluster);
+  // A node whose circuit breaker is open sends a trial within this time.
+  cluster.Advance(ClaimSettings().trial_interval);
   for (std::uint8_t key = 0; key < kKeys; ++key) {
-    const bool has_run = world.runs().contains(KeyOf(key));
-    const std::size_t sent = world.Send(key % kNodes, KeyOf(key));
-    world.DrainAll();
-    RC_ASSERT((world.StatusOf(sent) == ClaimStatus::kGranted) == !has_run);
-    RC_ASSERT(world.StatusOf(sent) != ClaimStatus::kInProgress);
-    RC_ASSERT(world.StatusOf(sent) != ClaimStatus::kStoreUnavailable);
+    const bool has_run = cluster.runs().contains(KeyOf(key));
+    const std::size_t sent = cluster.Send(key % kNodes, KeyOf(key));
+    cluster.DrainAll();
+    RC_ASSERT((cluster.StatusOf(sent) == ClaimStatus::kGranted) == !has_run);
+    RC_ASSERT(cluster.StatusOf(sent) != ClaimStatus::kInProgress);
+    RC_ASSERT(cluster.StatusOf(sent) != ClaimStatus::kStoreUnavailable);
   }
 }
 
-// One process, one map, no faults.
-class NaiveClaims {
+// The reference: one process with one map and no faults.
+class ReferenceClaims {
  public:
   ClaimResult Send(const std::string& key, std::uint64_t fingerprint) {
     const auto found = m_entries.find(key);
@@ -223,10 +225,11 @@
   std::map<std::string, Entry> m_entries;
 };
 
-// Sends at any node, each granted call ended at once or never, lost answers.
-RC_GTEST_PROP(ClaimHistory, AgreesWithTheNaiveVersion, ()) {
-  ClaimWorld world(kNodes);
-  NaiveClaims naive;
+// Calls at any node. Each granted call ends at once or never; replies may be
+// lost.
+RC_GTEST_PROP(ClaimHistory, AgreesWithTheReference, ()) {
+  ClaimCluster cluster(kNodes);
+  ReferenceClaims reference;
   const auto history = *rc::gen::container<
       std::vector<std::tuple<std::uint8_t, std::uint8_t, std::uint8_t, bool>>>(
       rc::gen::arbitrary<
@@ -234,19 +237,20 @@
   for (const auto& [node, key, mode, is_answer_lost] : history) {
     const std::uint64_t fingerprint = mode % 8 == 0 ? 2 : 1;
     const auto ending = static_cast<Ending>(mode / 8 % 4);
-    const std::size_t sent = world.Send(node % kNodes, KeyOf(key), fingerprint);
+    const std::size_t sent =
+        cluster.Send(node % kNodes, KeyOf(key), fingerprint);
     if (is_answer_lost)
-      world.Settle(0, Fate::kAnswerLost);
-    world.DrainAll();
-    const ClaimResult expected = naive.Send(KeyOf(key), fingerprint);
-    RC_ASSERT(world.StatusOf(sent) == expected.status);
-    RC_ASSERT(world.sends().at(sent).result->answer == expected.answer);
+      cluster.Resolve(0, Fate::kAnswerLost);
+    cluster.DrainAll();
+    const ClaimResult expected = reference.Send(KeyOf(key), fingerprint);
+    RC_ASSERT(cluster.StatusOf(sent) == expected.status);
+    RC_ASSERT(cluster.sends().at(sent).result->answer == expected.answer);
     if (expected.status != ClaimStatus::kGranted)
       continue;
-    world.GoOn(sent, ending);
-    naive.End(KeyOf(key), ending, AnswerOfRun(sent));
-    world.Pass(std::chrono::milliseconds(50));
-    world.DrainAll();
+    cluster.EndCall(sent, ending);
+    reference.End(KeyOf(key), ending, AnswerOfRun(sent));
+    cluster.Advance(std::chrono::milliseconds(50));
+    cluster.DrainAll();
   }
 }
 
--- a/source/unit_tests/core/claims/claim_row_test.cc
+++ b/source/unit_tests/core/claims/claim_row_test.cc
@@ -1,4 +1,4 @@
-// Row keys that never meet, and what the sweeper removes.
+// Tests of `core/claims/claim_row.h` and `core/claims/claim_sweeper.h`.
 
 #include "core/claims/claim_row.h"
 
@@ -31,8 +31,8 @@
 
 class RowKeyTest : public testing::TestWithParam<KeyPair> {};
 
-// Symptom: a workspace's booking is refused for another one's. Cause: two keys
-// shared a row.
+// Guards against refusing a request because of the claim of another workspace:
+// two different keys must not share a row.
 TEST_P(RowKeyTest, DiffersForDifferentKeys) {
   const KeyPair& pair = GetParam();
   EXPECT_NE(detail::ClaimRowKey(WorkspaceName(pair.workspace),
@@ -68,7 +68,7 @@
   EXPECT_EQ(decoded->answer, row.answer);
 }
 
-// Chooses shard 0, always.
+// Always returns 0, so the sweeper chooses shard 0.
 class ZeroSource : public RandomSource {
  public:
   std::uint64_t NextBits() override { return 0; }
@@ -123,9 +123,9 @@
         SweepCase{"ClaimedPast", ClaimRowState::kClaimed, 26h, true}),
     [](const auto& info) { return info.param.name; });
 
-// Symptom: a booking runs twice. Sequence: the sweeper scans an expired row; a
-// node claims the key anew; the sweeper deletes. Cause: it deleted by key.
-TEST_F(SweepTest, SparesARowThatChangedSinceTheScan) {
+// Guards against a request that runs twice: the sweeper scans an expired row, a
+// node claims the key again, and a delete by key alone removes the new claim.
+TEST_F(SweepTest, KeepsARowThatChangedSinceTheScan) {
   PutRow(ClaimRowState::kReleased, 2h);
   m_sweeper.OnTimer(m_sweeper.NextWakeup(), 1);
   PutRow(ClaimRowState::kClaimed, Duration{0});
--- a/source/unit_tests/core/claims/claim_world.cc
+++ b/source/unit_tests/core/claims/claim_world.cc
@@ -20,34 +20,34 @@
   return {201, "text/plain", "run of send " + std::to_string(sent), true};
 }
 
-class ClaimWorld::Port : public TableService {
+class ClaimCluster::Port : public TableService {
  public:
-  Port(ClaimWorld& world, std::size_t node, int life)
-      : m_world(world), m_node(node), m_life(life) {}
+  Port(ClaimCluster& cluster, std::size_t node, int process)
+      : m_cluster(cluster), m_node(node), m_process(process) {}
 
   void Submit(TableRequest request, Callback callback) override {
-    m_world.m_waiting.push_back(
-        {m_node, m_life, std::move(request), std::move(callback)});
+    m_cluster.m_waiting.push_back(
+        {m_node, m_process, std::move(request), std::move(callback)});
   }
 
  private:
-  ClaimWorld& m_world;
+  ClaimCluster& m_cluster;
   std::size_t m_node;
-  int m_life;
+  int m_process;
 };
 
-ClaimWorld::ClaimWorld(std::size_t nodes, ClaimSettings settings)
+ClaimCluster::ClaimCluster(std::size_t nodes, ClaimSettings settings)
     : m_settings(settings), m_nodes(nodes) {
   for (std::size_t node = 0; node < nodes; ++node)
     Start(node);
 }
 
-ClaimWorld::~ClaimWorld() = default;
+ClaimCluster::~ClaimCluster() = default;
 
-void ClaimWorld::Start(std::size_t node) {
+void ClaimCluster::Start(std::size_t node) {
   Node& started = m_nodes.at(node);
   started.book.reset();
-  started.port = std::make_unique<Port>(*this, node, started.life);
+  started.port = std::make_unique<Port>(*this, node, started.process);
   started.random = std::make_unique<SeededRandomSource>(++m_seed);
   const WallAnchor wall{TimePoint{}, kWallStart};
   started.book = std::make_unique<ClaimBook>(m_settings, *started.port,
@@ -55,9 +55,9 @@
   started.is_frozen = false;
 }
 
-std::size_t ClaimWorld::Send(std::size_t node,
-                             const std::string& key,
-                             std::uint64_t fingerprint) {
+std::size_t ClaimCluster::Send(std::size_t node,
+                               const std::string& key,
+                               std::uint64_t fingerprint) {
   const std::size_t index = m_sends.size();
   m_sends.push_back({node, key, {}, {}, 0, false});
   if (m_nodes.at(node).is_frozen)
@@ -74,7 +74,7 @@
   return index;
 }
 
-void ClaimWorld::GoOn(std::size_t sent, Ending ending) {
+void ClaimCluster::EndCall(std::size_t sent, Ending ending) {
   Sent& call = m_sends.at(sent);
   const bool is_granted =
       call.result && call.result->status == ClaimStatus::kGranted;
@@ -97,12 +97,12 @@
     claims.MarkUnknown(m_now, call.claim);
 }
 
-void ClaimWorld::EndAllGranted(Ending ending) {
+void ClaimCluster::EndAllGranted(Ending ending) {
   for (std::size_t sent = 0; sent < m_sends.size(); ++sent)
-    GoOn(sent, ending);
+    EndCall(sent, ending);
 }
 
-void ClaimWorld::Settle(std::size_t nth, Fate fate) {
+void ClaimCluster::Resolve(std::size_t nth, Fate fate) {
   if (m_waiting.empty())
     return;
   const auto chosen =
@@ -110,23 +110,23 @@
   Request request = std::move(*chosen);
   m_waiting.erase(chosen);
   TableReply reply;
-  if (fate == Fate::kDown)
+  if (fate == Fate::kUnavailable)
     reply.status = TableStatus::kUnavailable;
   if (fate == Fate::kAnswered)
     reply = m_table.Apply(request.body);
   if (fate == Fate::kAnswerLost)
     m_table.Apply(request.body);
-  if (fate == Fate::kLandsLate)
+  if (fate == Fate::kAppliedLate)
     m_late.push_back(request.body);
   m_deliveries.push_back({std::move(request), std::move(reply)});
 }
 
-bool ClaimWorld::IsDeliverable(const Delivery& delivery) const {
+bool ClaimCluster::IsDeliverable(const Delivery& delivery) const {
   const Node& node = m_nodes.at(delivery.request.node);
-  return !node.is_frozen || node.life != delivery.request.life;
+  return !node.is_frozen || node.process != delivery.request.process;
 }
 
-void ClaimWorld::Deliver(std::size_t nth) {
+void ClaimCluster::Deliver(std::size_t nth) {
   std::vector<std::size_t> deliverable;
   for (std::size_t index = 0; index < m_deliveries.size(); ++index) {
     if (IsDeliverable(m_deliveries[index]))
@@ -139,11 +139,11 @@
       static_cast<std::ptrdiff_t>(deliverable.at(nth % deliverable.size()));
   Delivery delivery = std::move(*chosen);
   m_deliveries.erase(chosen);
-  if (m_nodes.at(delivery.request.node).life == delivery.request.life)
+  if (m_nodes.at(delivery.request.node).process == delivery.request.process)
     delivery.request.callback(m_now, std::move(delivery.reply));
 }
 
-void ClaimWorld::Land(std::size_t nth) {
+void ClaimCluster::ApplyLate(std::size_t nth) {
   if (m_late.empty())
     return;
   const auto chosen =
@@ -152,10 +152,10 @@
   m_late.erase(chosen);
 }
 
-void ClaimWorld::DrainAll() {
+void ClaimCluster::DrainAll() {
   while (!m_waiting.empty() || !m_deliveries.empty()) {
     while (!m_waiting.empty())
-      Settle(0, Fate::kAnswered);
+      Resolve(0, Fate::kAnswered);
     const std::size_t before = m_deliveries.size();
     Deliver(0);
     if (m_waiting.empty() && m_deliveries.size() == before)
@@ -163,7 +163,7 @@
   }
 }
 
-void ClaimWorld::Pass(Duration time) {
+void ClaimCluster::Advance(Duration time) {
   m_now += time;
   for (Node& node : m_nodes) {
     if (!node.is_frozen)
@@ -171,18 +171,18 @@
   }
 }
 
-bool ClaimWorld::PassToNextWakeup() {
+bool ClaimCluster::AdvanceToNextWakeup() {
   TimePoint wakeup = TimePoint::max();
   for (const Node& node : m_nodes)
     wakeup = std::min(wakeup, node.book->NextWakeup());
   if (wakeup == TimePoint::max())
     return !m_late.empty();
-  Pass(std::max(wakeup - m_now, Duration(0)));
+  Advance(std::max(wakeup - m_now, Duration(0)));
   return true;
 }
 
-void ClaimWorld::Crash(std::size_t node) {
-  ++m_nodes.at(node).life;
+void ClaimCluster::Crash(std::size_t node) {
+  ++m_nodes.at(node).process;
   for (Sent& call : m_sends) {
     if (call.node == node)
       call.is_ended = true;
@@ -190,11 +190,11 @@
   Start(node);
 }
 
-void ClaimWorld::SetFrozen(std::size_t node, bool is_frozen) {
+void ClaimCluster::SetFrozen(std::size_t node, bool is_frozen) {
   m_nodes.at(node).is_frozen = is_frozen;
 }
 
-ClaimStatus ClaimWorld::StatusOf(std::size_t sent) const {
+ClaimStatus ClaimCluster::StatusOf(std::size_t sent) const {
   return m_sends.at(sent).result.value_or(ClaimResult{}).status;
 }
 
--- a/source/unit_tests/core/claims/claim_world.h
+++ b/source/unit_tests/core/claims/claim_world.h
@@ -1,5 +1,5 @@
-// Several nodes with their claims over one table, for tests: each step between
-// a request's submission, its effect and its answer is the test's to choose.
+// Several nodes with their claims over one simulated table. The test chooses
+// when each request to the table takes effect and when its reply arrives.
 
 #ifndef BULRUSHMOUNT_UNIT_TESTS_CORE_CLAIMS_CLAIM_WORLD_H_
 #define BULRUSHMOUNT_UNIT_TESTS_CORE_CLAIMS_CLAIM_WORLD_H_
@@ -20,20 +20,20 @@
 
 enum class Fate : std::uint8_t {
   kAnswered,
-  // Applied; the answer is lost.
+  // Applied; the reply is lost.
   kAnswerLost,
-  // Never applied; no answer.
+  // Never applied; no reply.
   kRequestLost,
   // Timed out; applied at a later step, if ever.
-  kLandsLate,
-  kDown,
+  kAppliedLate,
+  kUnavailable,
 };
 inline constexpr std::size_t kFateCount = 5;
 
-// How a granted call goes on.
+// How a granted call ends.
 enum class Ending : std::uint8_t { kFinish, kUnknown, kRelease, kNeverEnds };
 
-// One send of a caller, and what became of it.
+// One call and its result.
 struct Sent {
   std::size_t node = 0;
   std::string key;
@@ -43,32 +43,33 @@
   bool is_ended = false;
 };
 
-class ClaimWorld {
+class ClaimCluster {
  public:
-  explicit ClaimWorld(std::size_t nodes, ClaimSettings settings = {});
-  ~ClaimWorld();
+  explicit ClaimCluster(std::size_t nodes, ClaimSettings settings = {});
+  ~ClaimCluster();
 
-  // The index of the send.
+  // Makes a call and returns its index in `sends`.
   std::size_t Send(std::size_t node,
                    const std::string& key,
                    std::uint64_t fingerprint = 1);
-  // Carries the call on, if it is granted and its node runs: asks before the
-  // dispatch, and runs it (kRelease: refused by the target, not run).
-  void GoOn(std::size_t sent, Ending ending);
+  // Ends a call with `ending` if it is granted and its node is not frozen:
+  // checks the claim before the dispatch and then runs it. With kRelease the
+  // target refuses it and it does not run.
+  void EndCall(std::size_t sent, Ending ending);
   void EndAllGranted(Ending ending);
 
-  // The nth request that waits for its effect.
-  void Settle(std::size_t nth, Fate fate);
-  // The nth reply on its way to a node that runs.
+  // Resolves the nth request that has not taken effect yet.
+  void Resolve(std::size_t nth, Fate fate);
+  // Delivers the nth reply in transit to a node that runs.
   void Deliver(std::size_t nth);
-  // A transaction of fate kLandsLate takes effect.
-  void Land(std::size_t nth);
-  // All requests are applied and answered until none is left.
+  // Applies the nth transaction of fate kAppliedLate.
+  void ApplyLate(std::size_t nth);
+  // Applies and answers all requests until none is left.
   void DrainAll();
-  void Pass(Duration time);
-  // To the first wakeup that a node asks for; false if none does and nothing
-  // is to land.
-  bool PassToNextWakeup();
+  void Advance(Duration time);
+  // Advances the time to the first wakeup that a node needs. Returns false if
+  // there is none and no late transaction is left.
+  bool AdvanceToNextWakeup();
 
   void Crash(std::size_t node);
   void SetFrozen(std::size_t node, bool is_frozen);
@@ -79,7 +80,7 @@
   TimePoint now() const { return m_now; }
   const std::deque<Sent>& sends() const { return m_sends; }
   std::size_t waiting() const { return m_waiting.size(); }
-  // The ledger of the targets: which sends ran, by key.
+  // The calls that ran at the targets, by key.
   const std::map<std::string, std::vector<std::size_t>>& runs() const {
     return m_runs;
   }
@@ -91,14 +92,14 @@
     std::unique_ptr<Port> port;
     std::unique_ptr<SeededRandomSource> random;
     std::unique_ptr<ClaimBook> book;
-    // Rises at a crash: replies to an earlier life reach nobody.
-    int life = 0;
+    // Increases with each crash; replies to an earlier process are dropped.
+    int process = 0;
     bool is_frozen = false;
   };
 
   struct Request {
     std::size_t node = 0;
-    int life = 0;
+    int process = 0;
     TableRequest body;
     TableService::Callback callback;
   };
@@ -123,7 +124,7 @@
   std::map<std::string, std::vector<std::size_t>> m_runs;
 };
 
-// What a target answers to a send that runs.
+// The answer of the target to a call that runs.
 StoredAnswer AnswerOfRun(std::size_t sent);
 
 }  // namespace bulrushmount
