--- a/source/core/claims/claim_book_state.h
+++ b/source/core/claims/claim_book_state.h
@@ -16,7 +16,7 @@
 
 #include "core/claims/claim_book.h"
 #include "core/claims/claim_row.h"
-#include "core/claims/store_breaker.h"
+#include "core/claims/store_circuit_breaker.h"
 #include "core/claims/write_batcher.h"
 #include "core/common/random.h"
 #include "core/store/table_service.h"
--- a/source/core/claims/store_breaker.h
+++ b/source/core/claims/store_circuit_breaker.h
@@ -1,8 +1,8 @@
 // A circuit breaker for the table: after consecutive failures calls are refused
 // immediately instead of waiting for a timeout.
 
-#ifndef BULRUSHMOUNT_CORE_CLAIMS_STORE_BREAKER_H_
-#define BULRUSHMOUNT_CORE_CLAIMS_STORE_BREAKER_H_
+#ifndef BULRUSHMOUNT_CORE_CLAIMS_STORE_CIRCUIT_BREAKER_H_
+#define BULRUSHMOUNT_CORE_CLAIMS_STORE_CIRCUIT_BREAKER_H_
 
 #include "core/common/time.h"
 
@@ -47,4 +47,4 @@
 
 }  // namespace bulrushmount::detail
 
-#endif  // BULRUSHMOUNT_CORE_CLAIMS_STORE_BREAKER_H_
+#endif  // BULRUSHMOUNT_CORE_CLAIMS_STORE_CIRCUIT_BREAKER_H_
