--- a/source/unit_tests/core/claims/claim_book_test.cc
+++ b/source/unit_tests/core/claims/claim_book_test.cc
@@ -9,7 +9,7 @@
 #include <gtest/gtest.h>
 
 #include "core/claims/claim_row.h"
-#include "unit_tests/core/claims/claim_world.h"
+#include "unit_tests/core/claims/claim_cluster.h"
 
 namespace bulrushmount {
 namespace {
--- a/source/unit_tests/core/claims/claim_world.h
+++ b/source/unit_tests/core/claims/claim_cluster.h
@@ -1,8 +1,8 @@
 // Several nodes with their claims over one simulated table. The test chooses
 // when each request to the table takes effect and when its reply arrives.
 
-#ifndef BULRUSHMOUNT_UNIT_TESTS_CORE_CLAIMS_CLAIM_WORLD_H_
-#define BULRUSHMOUNT_UNIT_TESTS_CORE_CLAIMS_CLAIM_WORLD_H_
+#ifndef BULRUSHMOUNT_UNIT_TESTS_CORE_CLAIMS_CLAIM_CLUSTER_H_
+#define BULRUSHMOUNT_UNIT_TESTS_CORE_CLAIMS_CLAIM_CLUSTER_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -129,4 +129,4 @@
 
 }  // namespace bulrushmount
 
-#endif  // BULRUSHMOUNT_UNIT_TESTS_CORE_CLAIMS_CLAIM_WORLD_H_
+#endif  // BULRUSHMOUNT_UNIT_TESTS_CORE_CLAIMS_CLAIM_CLUSTER_H_
--- a/source/unit_tests/core/claims/claim_history_test.cc
+++ b/source/unit_tests/core/claims/claim_history_test.cc
@@ -13,7 +13,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "unit_tests/core/claims/claim_world.h"
+#include "unit_tests/core/claims/claim_cluster.h"
 
 namespace bulrushmount {
 namespace {
--- a/source/unit_tests/core/claims/claim_row_test.cc
+++ b/source/unit_tests/core/claims/claim_row_test.cc
@@ -7,7 +7,7 @@
 #include <gtest/gtest.h>
 
 #include "core/claims/claim_sweeper.h"
-#include "unit_tests/core/claims/claim_world.h"
+#include "unit_tests/core/claims/claim_cluster.h"
 #include "unit_tests/core/store/fake_table_service.h"
 
 namespace bulrushmount {
--- a/source/unit_tests/core/claims/claim_world.cc
+++ b/source/unit_tests/core/claims/claim_world.cc
@@ -1,6 +1,6 @@
 // Part of `claim_world.h`.
 
-#include "unit_tests/core/claims/claim_world.h"
+#include "unit_tests/core/claims/claim_cluster.h"
 
 #include <algorithm>
 #include <utility>
