--- a/source/core/claims/claim_book_state.h
+++ b/source/core/claims/claim_book_state.h
@@ -36,7 +36,7 @@
 // Who holds the row at its last known version.
 enum class RowHolder : std::uint8_t {
   // There is no row, or it is released.
-  kNobody,
+  kNoClaim,
   // This claim; the row equals `claimed_row`.
   kThisClaim,
   kOther,
@@ -57,7 +57,7 @@
 
   // Last known version of the row; the condition of the next write.
   RowVersion version = kNoRow;
-  RowHolder holder = RowHolder::kNobody;
+  RowHolder holder = RowHolder::kNoClaim;
   // Valid with kOther.
   ClaimRow other_row;
   // Condition of a write of this claim that was not answered and may still take
--- a/source/core/claims/claim_steps.cc
+++ b/source/core/claims/claim_steps.cc
@@ -22,7 +22,7 @@
     claim.pending_write_condition.reset();
   claim.version = current;
   claim.is_read_due = false;
-  claim.holder = RowHolder::kNobody;
+  claim.holder = RowHolder::kNoClaim;
   if (row == nullptr)
     return;
   const std::optional<ClaimRow> decoded = DecodeClaimRow(row->value);
@@ -65,7 +65,7 @@
     case RowHolder::kOther:
       Refuse(now, claim, ResultOfRow(now, claim.other_row, claim.request));
       return;
-    case RowHolder::kNobody:
+    case RowHolder::kNoClaim:
       if (claim.writes >= kMaxAcquireWrites) {
         Refuse(now, claim, {ClaimStatus::kStoreUnavailable, {}});
         return;
--- a/source/core/limits/limits_settings.h
+++ b/source/core/limits/limits_settings.h
@@ -98,8 +98,8 @@
 }
 
 // The fraction of a workspace's rate that is lent as rates. With many entries
-// the home hears from each so rarely that single units would lie unused at the
-// home, so the fraction grows with `members`.
+// each sends requests so rarely that single units would lie unused at the home,
+// so the fraction grows with `members`.
 inline double LendablePart(const LimitsSettings& settings,
                            std::size_t members) {
   const double requests_per_second =
--- a/source/unit_tests/core/claims/claim_cluster.cc
+++ b/source/unit_tests/core/claims/claim_cluster.cc
@@ -1,4 +1,4 @@
-// Part of `claim_world.h`.
+// Part of `claim_cluster.h`.
 
 #include "unit_tests/core/claims/claim_cluster.h"
 
--- a/source/unit_tests/core/limits/limiter_home_test.cc
+++ b/source/unit_tests/core/limits/limiter_home_test.cc
@@ -163,7 +163,7 @@
   }
 }
 
-TEST_F(LimiterHomeTest, ForgetsAnAccountThatNobodyBorrowsFrom) {
+TEST_F(LimiterHomeTest, DropsAFullAccountWithoutLoans) {
   Ask(100s, 1, Request(1, 10));
   EXPECT_EQ(m_home.AccountCount(), 1U);
   m_home.OnTimer(kStart + 110s);
--- a/source/unit_tests/core/quarantine/quarantine_property_test.cc
+++ b/source/unit_tests/core/quarantine/quarantine_property_test.cc
@@ -49,9 +49,9 @@
 const Fingerprint kPoison{13};
 const Fingerprint kHarmless{21};
 
-// The reference. It is told only what was sent when, and counts the copies of
-// the poison request that were sent before any node could know of the first
-// crash.
+// The reference. It gets only the times of calls and of the first crash, and
+// counts the copies of the poison request that were sent before any node could
+// know of that crash.
 class ReferenceBound {
  public:
   void OnCall(TimePoint now) {
