--- a/source/core/admission/adaptive_limit.cc
+++ b/source/core/admission/adaptive_limit.cc
@@ -9,20 +9,21 @@
 
 namespace {
 
-// Answers that a baseline is learnt from, and then moves by, at least. From
-// fewer, chance would make some targets look slow at their usual speed: the
-// mean of 16 is off by a fifth for one in ten, and a baseline falls faster than
-// it rises.
+// Minimum number of answers for an initial baseline and for each update. With
+// fewer, noise would make some targets look slow at their normal speed: the
+// mean of 16 answers is off by a fifth in one of ten cases, and a baseline
+// falls faster than it rises.
 constexpr std::uint32_t kBaselineAnswers = 128;
 
-// One step lowers the limit to no less than this part of it.
+// One adjustment lowers the limit to no less than this fraction of it.
 constexpr double kMaxDecrease = 0.7;
 
-// Time constant by which a baseline follows a lower latency. Not at once: a
-// few quick answers are chance.
-constexpr Duration kFallMemory = std::chrono::seconds(2);
+// Time constant with which a baseline falls towards a lower latency. Not
+// immediate, since a few fast answers can be noise.
+constexpr Duration kFallTimeConstant = std::chrono::seconds(2);
 
-// Kinds come from contracts; more than this are not looked at.
+// Bounds memory, since the contracts may name any number of kinds. Answers of
+// further kinds are ignored.
 constexpr std::size_t kMaxKinds = 64;
 
 }  // namespace
@@ -51,7 +52,7 @@
                        now - m_window.begun >= m_settings.window;
   if (!is_full)
     return;
-  Step();
+  AdjustLimit();
   m_window = Window{};
 }
 
@@ -66,31 +67,32 @@
   Baseline& baseline = m_baselines[sample.kind];
   const Duration latency = std::max<Duration>(sample.first_byte, Duration(1));
   const double log_ratio = std::log(ToSeconds(latency)) - baseline.log_latency;
-  if (baseline.learnt_answers < kBaselineAnswers) {
-    ++baseline.learnt_answers;
-    baseline.log_latency += log_ratio / baseline.learnt_answers;
-    baseline.followed_at = now;
+  if (baseline.samples < kBaselineAnswers) {
+    ++baseline.samples;
+    baseline.log_latency += log_ratio / baseline.samples;
+    baseline.updated_at = now;
     return std::nullopt;
   }
   baseline.sum_log_ratio += log_ratio;
   ++baseline.answers;
-  Follow(now, baseline);
+  UpdateBaseline(now, baseline);
   return log_ratio;
 }
 
-void AdaptiveLimit::Follow(TimePoint now, Baseline& baseline) const {
+void AdaptiveLimit::UpdateBaseline(TimePoint now, Baseline& baseline) const {
   if (baseline.answers < kBaselineAnswers)
     return;
   const double mean = baseline.sum_log_ratio / baseline.answers;
-  const Duration memory = mean < 0 ? kFallMemory : m_settings.baseline_memory;
-  const double elapsed = ToSeconds(now - baseline.followed_at);
+  const Duration memory =
+      mean < 0 ? kFallTimeConstant : m_settings.baseline_time_constant;
+  const double elapsed = ToSeconds(now - baseline.updated_at);
   baseline.log_latency += mean * (1 - std::exp(-elapsed / ToSeconds(memory)));
   baseline.sum_log_ratio = 0;
   baseline.answers = 0;
-  baseline.followed_at = now;
+  baseline.updated_at = now;
 }
 
-void AdaptiveLimit::Step() {
+void AdaptiveLimit::AdjustLimit() {
   const double mean = m_window.sum_log_ratio / m_window.answers;
   const double variance =
       std::max(0.0, m_window.sum_squares / m_window.answers - mean * mean);
@@ -100,7 +102,8 @@
     m_limit = std::min(m_limit + 1, static_cast<double>(m_slots));
     return;
   }
-  // A target that has slots to spare is not slow for running too much.
+  // With fewer than half of the allowed requests in flight, concurrency is not
+  // the cause of the latency.
   if (m_window.max_in_flight < m_limit / 2)
     return;
   const double decrease = std::max(std::exp(allowed - mean), kMaxDecrease);
--- a/source/core/admission/adaptive_limit.h
+++ b/source/core/admission/adaptive_limit.h
@@ -1,5 +1,5 @@
-// Lowers the concurrency below the announced slots while the target's latency
-// says that a neighbour takes part of its machine.
+// Lowers a target's concurrency limit below its announced slots while its
+// latency indicates interference from other processes on the same machine.
 
 #ifndef BULRUSHMOUNT_CORE_ADMISSION_ADAPTIVE_LIMIT_H_
 #define BULRUSHMOUNT_CORE_ADMISSION_ADAPTIVE_LIMIT_H_
@@ -16,23 +16,25 @@
 namespace bulrushmount {
 
 struct AdaptiveLimitSettings {
-  // The limit never falls below this fraction of the slots, nor below 1.
+  // Lower bound of the limit as a fraction of the slots; the limit is also at
+  // least 1.
   double min_fraction = 0.34;
-  // Latency may be this multiple of the baseline before the limit falls, and
-  // beyond that this many standard errors of its mean: a window of few answers
-  // has to show more than one of many.
+  // The limit falls when the mean latency exceeds this multiple of the baseline
+  // by more than `standard_errors` standard errors of the mean, so a window
+  // with few answers needs a larger increase than one with many.
   double tolerance = 1.2;
   double standard_errors = 2.0;
-  // Answers and time that one step is based on, at least.
+  // Minimum number of answers and minimum time between two adjustments.
   std::uint32_t window_answers = 16;
   Duration window = std::chrono::milliseconds(50);
-  // Time constant by which the baseline follows a latency that stays higher;
-  // a lower one it follows at once.
-  Duration baseline_memory = std::chrono::seconds(60);
+  // Time constant with which the baseline rises towards a latency that stays
+  // higher. It falls faster, with kFallTimeConstant.
+  Duration baseline_time_constant = std::chrono::seconds(60);
 };
 
-// Additive increase, multiplicative decrease. Each kind has a baseline of its
-// own, so that a change of mix is no change of speed.
+// Additive-increase, multiplicative-decrease limit. Each request kind has its
+// own latency baseline, so that a change of the request mix is not mistaken for
+// a change of speed.
 class AdaptiveLimit : public ConcurrencyLimit {
  public:
   explicit AdaptiveLimit(const AdaptiveLimitSettings& settings);
@@ -42,19 +44,19 @@
   std::uint32_t limit() const override;
 
  private:
-  // The usual latency of one kind.
+  // Baseline latency of one request kind.
   struct Baseline {
     // Mean of the logarithm of the latency in seconds.
     double log_latency = 0;
-    // Answers that it was first learnt from, up to the number needed.
-    std::uint32_t learnt_answers = 0;
-    // Logarithms of latency over baseline since `followed_at`.
+    // Answers in the initial mean, at most kBaselineAnswers.
+    std::uint32_t samples = 0;
+    // Sum and number of log(latency / baseline) since `updated_at`.
     double sum_log_ratio = 0;
     std::uint32_t answers = 0;
-    TimePoint followed_at;
+    TimePoint updated_at;
   };
 
-  // The answers since the last step.
+  // Answers since the last adjustment.
   struct Window {
     TimePoint begun;
     double sum_log_ratio = 0;
@@ -63,11 +65,12 @@
     std::uint32_t max_in_flight = 0;
   };
 
-  // The logarithm of latency over baseline; empty while the kind is new.
+  // log(latency / baseline); empty until the kind has a baseline.
   std::optional<double> LogRatio(TimePoint now, const LatencySample& sample);
-  // Lets the baseline follow what it has seen, once that is enough.
-  void Follow(TimePoint now, Baseline& baseline) const;
-  void Step();
+  // Moves the baseline towards the observed latencies once there are
+  // kBaselineAnswers of them.
+  void UpdateBaseline(TimePoint now, Baseline& baseline) const;
+  void AdjustLimit();
   double Floor() const;
 
   AdaptiveLimitSettings m_settings;
--- a/source/core/admission/admission.cc
+++ b/source/core/admission/admission.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-// The timer never spins, however the clock rounds.
+// Prevents a busy loop of the timer by clock rounding.
 constexpr Duration kMinTimerStep = std::chrono::microseconds(10);
 
 std::optional<TimePoint> ObjectiveOf(TimePoint now,
@@ -27,8 +27,8 @@
   return now + request.max_hold;
 }
 
-// What the request would have taken on an undisturbed target.
-Duration UsualTime(Duration elapsed, double slowdown) {
+// Time that the request would have taken on an undisturbed target.
+Duration UndisturbedTime(Duration elapsed, double slowdown) {
   return FromSeconds(ToSeconds(elapsed) / slowdown);
 }
 
@@ -41,7 +41,7 @@
       m_limit(std::move(limit)),
       m_gate(gate ? *gate : m_open_gate),
       m_service_times(settings.initial_service_time),
-      m_usual(settings.usual_window) {}
+      m_slowdown_baseline(settings.baseline_window) {}
 
 AdmissionOutput Admission::SetTarget(TimePoint now,
                                      std::uint32_t slots,
@@ -50,15 +50,15 @@
   m_slots = slots;
   m_connections = connections;
   m_is_open = true;
-  return Settle(now);
+  return Reschedule(now);
 }
 
 AdmissionOutput Admission::SetSlowdown(TimePoint now, double slowdown) {
   m_slowdown = slowdown;
-  m_usual.OnReported(now, slowdown);
+  m_slowdown_baseline.OnReported(now, slowdown);
   if (m_is_cold)
     m_cold_slowdown = std::min(m_cold_slowdown.value_or(slowdown), slowdown);
-  return Settle(now);
+  return Reschedule(now);
 }
 
 void Admission::SetCold(bool is_cold) {
@@ -67,12 +67,13 @@
     m_cold_slowdown.reset();
 }
 
-double Admission::UsualSlowdown() const {
-  return std::max(m_usual.slowdown(), m_cold_slowdown.value_or(0.0));
+double Admission::BaselineSlowdown() const {
+  return std::max(m_slowdown_baseline.slowdown(),
+                  m_cold_slowdown.value_or(0.0));
 }
 
 bool Admission::IsDisturbed() const {
-  return m_slowdown >= m_settings.hold_from_slowdown * UsualSlowdown();
+  return m_slowdown >= m_settings.hold_from_slowdown * BaselineSlowdown();
 }
 
 AdmissionOutput Admission::Drain(TimePoint now, Reason reason) {
@@ -91,7 +92,7 @@
                                   const AdmissionRequest& request) {
   if (!m_is_open)
     return {.start = {}, .refuse = {{work, m_closed_reason}}};
-  NoteQueue(now);
+  UpdateRankHistories(now);
   m_rank_histories[request.rank].last_arrival = now;
   QueuedWork queued{.work = work,
                     .workspace = request.workspace,
@@ -105,7 +106,7 @@
                     .is_suspect = request.is_suspect};
   m_queue.Push(request.rank, std::move(queued),
                m_service_times.SlotTime(request.kind, request.weight));
-  return Settle(now);
+  return Reschedule(now);
 }
 
 void Admission::OnAnswerBegun(TimePoint now,
@@ -120,8 +121,9 @@
   if (is_server_error)
     return;
   const Duration elapsed = now - running.started_at;
-  m_service_times.OnFirstByte(running.kind, running.weight,
-                              UsualTime(elapsed, running.slowdown_at_start));
+  m_service_times.OnFirstByte(
+      running.kind, running.weight,
+      UndisturbedTime(elapsed, running.slowdown_at_start));
   m_limit->OnAnswer(now, {running.kind, elapsed, running.in_flight_at_start,
                           running.slowdown_at_start});
 }
@@ -138,14 +140,14 @@
   if (end == WorkEnd::kAnswered && !running.is_server_error) {
     m_service_times.OnSlotFreed(
         running.kind, running.weight,
-        UsualTime(now - running.started_at, running.slowdown_at_start));
+        UndisturbedTime(now - running.started_at, running.slowdown_at_start));
   }
-  return Settle(now);
+  return Reschedule(now);
 }
 
 AdmissionOutput Admission::OnCancelled(TimePoint now, WorkId work) {
   if (m_queue.Remove(work))
-    return Settle(now);
+    return Reschedule(now);
   const auto found = m_running.find(work);
   if (found == m_running.end())
     return {};
@@ -153,15 +155,15 @@
   m_running.erase(found);
   Release(running);
   if (!running.is_answer_begun) {
-    m_service_times.OnCutShort(
+    m_service_times.OnAborted(
         running.kind, running.weight,
-        UsualTime(now - running.started_at, running.slowdown_at_start));
+        UndisturbedTime(now - running.started_at, running.slowdown_at_start));
   }
-  return Settle(now);
+  return Reschedule(now);
 }
 
 AdmissionOutput Admission::OnTimer(TimePoint now) {
-  return Settle(now);
+  return Reschedule(now);
 }
 
 std::optional<TimePoint> Admission::NextWakeup() const {
@@ -190,64 +192,67 @@
   const double waits = request.is_last_attempt && !IsOverloaded(request.rank)
                            ? m_settings.max_wait_of_last_attempt
                            : m_settings.max_wait;
-  const Duration usual =
+  const Duration expected =
       FromSeconds(waits * ToSeconds(m_service_times.slot_time_per_unit()));
   if (!request.is_last_attempt)
-    return usual;
-  const double part = m_service_times.is_known()
+    return expected;
+  const double part = m_service_times.has_samples()
                           ? m_settings.least_wait_of_time_left
                           : m_settings.least_wait_before_first_answer;
-  return std::max(usual, FromSeconds(part * ToSeconds(request.time_left)));
+  return std::max(expected, FromSeconds(part * ToSeconds(request.time_left)));
 }
 
 bool Admission::IsOverloaded(Rank rank) const {
-  const bool gives_way_any = std::any_of(
-      m_rank_histories.upper_bound(rank), m_rank_histories.end(),
-      [this](const auto& entry) {
-        return m_noted_at - entry.second.last_arrival <= m_settings.rank_memory;
-      });
-  return !gives_way_any && m_rank_histories.at(rank).waiting_fraction >
-                               m_settings.overload_fraction;
-}
-
-void Admission::NoteQueue(TimePoint now) {
-  const double decay = std::exp(-ToSeconds(now - m_noted_at) /
-                                ToSeconds(m_settings.overload_memory));
+  const bool has_less_urgent_rank =
+      std::any_of(m_rank_histories.upper_bound(rank), m_rank_histories.end(),
+                  [this](const auto& entry) {
+                    return m_histories_updated_at - entry.second.last_arrival <=
+                           m_settings.rank_presence_time;
+                  });
+  return !has_less_urgent_rank && m_rank_histories.at(rank).waiting_fraction >
+                                      m_settings.overload_fraction;
+}
+
+void Admission::UpdateRankHistories(TimePoint now) {
+  const double decay = std::exp(-ToSeconds(now - m_histories_updated_at) /
+                                ToSeconds(m_settings.overload_time_constant));
   for (auto& [rank, history] : m_rank_histories) {
     const double waits = m_queue.CountUpTo(rank) > 0 ? 1 : 0;
     history.waiting_fraction =
         waits + (history.waiting_fraction - waits) * decay;
   }
-  m_noted_at = now;
+  m_histories_updated_at = now;
 }
 
-AdmissionOutput Admission::Settle(TimePoint now) {
-  NoteQueue(now);
+AdmissionOutput Admission::Reschedule(TimePoint now) {
+  UpdateRankHistories(now);
   AdmissionOutput output;
-  m_queue.NoteProspects(
-      [this, now](const QueuedWork& work) { return ProspectOf(now, work); });
+  m_queue.UpdateTimeliness(
+      [this, now](const QueuedWork& work) { return TimelinessOf(now, work); });
   RefuseUnservable(now, output);
-  StartWhatFits(now, output);
+  StartEligible(now, output);
   RefuseOverflow(output);
-  PlanWakeup(now);
+  ScheduleWakeup(now);
   return output;
 }
 
-// What goes wrong with the mean alone: at a load that is too high all starts
-// have just the mean time left, and half of the answers come a moment too late.
-Prospect Admission::ProspectOf(TimePoint now, const QueuedWork& work) const {
+// The mean service time alone is not enough: under overload every work would
+// start with just the mean time left, and half of the answers would be slightly
+// late.
+Timeliness Admission::TimelinessOf(TimePoint now,
+                                   const QueuedWork& work) const {
   if (!work.objective)
-    return Prospect::kLikely;
-  const Duration left = *work.objective - now - m_settings.way_back;
-  const auto takes = [this](Duration usual) {
-    return FromSeconds(ToSeconds(usual) * UsualSlowdown());
+    return Timeliness::kLikely;
+  const Duration left = *work.objective - now - m_settings.response_delay;
+  const auto takes = [this](Duration expected) {
+    return FromSeconds(ToSeconds(expected) * BaselineSlowdown());
   };
   if (takes(m_service_times.FirstByte(work.kind, work.weight)) > left)
-    return Prospect::kLate;
+    return Timeliness::kLate;
   const bool is_likely =
       !m_settings.expects_spread ||
       takes(m_service_times.LikelyFirstByte(work.kind, work.weight)) <= left;
-  return is_likely ? Prospect::kLikely : Prospect::kPossible;
+  return is_likely ? Timeliness::kLikely : Timeliness::kPossible;
 }
 
 void Admission::RefuseUnservable(TimePoint now, AdmissionOutput& output) {
@@ -256,7 +261,7 @@
   std::size_t ahead = 0;
   for (const QueuedWork& work : m_queue.works()) {
     const Duration wait = ExpectedWait(now, release_rate, ahead);
-    if (const std::optional<Reason> reason = WhyUnservable(now, work, wait))
+    if (const std::optional<Reason> reason = RefusalReason(now, work, wait))
       output.refuse.push_back({work.work, *reason});
     else
       ++ahead;
@@ -265,7 +270,7 @@
     m_queue.Remove(output.refuse[index].work);
 }
 
-void Admission::StartWhatFits(TimePoint now, AdmissionOutput& output) {
+void Admission::StartEligible(TimePoint now, AdmissionOutput& output) {
   m_is_holding = IsDisturbed() && !m_queue.works().empty();
   if (m_is_holding)
     return;
@@ -282,19 +287,19 @@
 }
 
 void Admission::RefuseOverflow(AdmissionOutput& output) {
-  // The last to start goes, not the last to come: a workspace that floods the
-  // queue pushes out its own works, never those of another.
+  // Refuses the last to start, not the last to arrive: a workspace that floods
+  // the queue pushes out its own works, never those of another.
   while (m_queue.works().size() > MaxQueue())
     output.refuse.push_back({m_queue.PopLast().work, Reason::kOverloaded});
 }
 
-void Admission::PlanWakeup(TimePoint now) {
+void Admission::ScheduleWakeup(TimePoint now) {
   m_next_wakeup.reset();
   if (m_queue.works().empty())
     return;
   const double release_rate = ReleaseRate(now);
-  // While nothing ends, the release rate falls and waits grow: look again
-  // after each mean service time even if nothing seems due.
+  // While no work ends, the release rate falls and expected waits grow, so the
+  // queue is checked again after each mean slot time even if nothing is due.
   TimePoint wakeup = now + m_service_times.slot_time_per_unit();
   if (!m_gate.MayStart(now))
     wakeup = std::min(wakeup, now + m_gate.ExpectedWait(now, 0));
@@ -328,11 +333,11 @@
 double Admission::ReleaseRate(TimePoint now) const {
   double rate = 0;
   for (const auto& [work, running] : m_running) {
-    // What has run for longer than usual will run on for about as long again:
-    // a frozen target or a long download frees no slot soon.
-    const Duration usual =
+    // A work that has run for longer than expected is assumed to run for as
+    // long again: a frozen target or a long download frees no slot soon.
+    const Duration expected =
         m_service_times.SlotTime(running.kind, running.weight);
-    rate += 1 / ToSeconds(std::max(usual, now - running.started_at));
+    rate += 1 / ToSeconds(std::max(expected, now - running.started_at));
   }
   return rate;
 }
@@ -362,15 +367,15 @@
   return work.is_suspect && m_suspects_running > 0;
 }
 
-std::optional<Reason> Admission::WhyUnservable(TimePoint now,
+std::optional<Reason> Admission::RefusalReason(TimePoint now,
                                                const QueuedWork& work,
                                                Duration wait) const {
   if (work.deadline <= now)
     return Reason::kDeadlineTooShort;
   if (work.hold_ends && *work.hold_ends <= now)
     return Reason::kSlowTarget;
-  // An idle target takes any request, else figures from a slow spell could
-  // turn everything away and never be corrected.
+  // An idle target accepts any request. Otherwise estimates from a slow period
+  // could refuse all requests and never be corrected.
   if (m_running.empty() && wait == Duration::zero() && !IsDisturbed())
     return std::nullopt;
   if (work.deadline - now <= m_service_times.FirstByte(work.kind, work.weight))
--- a/source/core/admission/admission_queue.cc
+++ b/source/core/admission/admission_queue.cc
@@ -12,37 +12,38 @@
 
 namespace {
 
-// Beyond this many workspaces, those who have no more than others are dropped.
+// Number of finish tags from which those without effect are pruned.
 constexpr std::size_t kPruneAt = 128;
 
-// The place of the work among those of its prospect: what is due first, and of
-// those that likely are late the newest. That also holds for what is late: how
-// long a work takes is an estimate, and a little late by it is often in time.
+// Sort key among works of the same timeliness: earliest due time first if the
+// work is likely in time, newest first otherwise. Newest first also applies to
+// late works, since the service time is an estimate and a work that is slightly
+// late by it is often in time.
 Duration OrderOf(const QueuedWork& work) {
   const TimePoint objective = work.objective.value_or(work.deadline);
-  switch (work.prospect) {
-    case Prospect::kLikely:
+  switch (work.timeliness) {
+    case Timeliness::kLikely:
       return objective.time_since_epoch();
-    case Prospect::kPossible:
-    case Prospect::kLate:
+    case Timeliness::kPossible:
+    case Timeliness::kLate:
       return -objective.time_since_epoch();
   }
   return Duration::max();
 }
 
-// By the ids' values: clang-tidy takes the comparison of the strong types in a
-// tuple for a null pointer's.
+// Compares the ids' values, since clang-tidy mistakes the comparison of strong
+// types in a tuple for a null pointer comparison.
 bool ByWorkspace(const QueuedWork& left, const QueuedWork& right) {
-  return std::make_tuple(std::cref(left.workspace.value()), left.prospect,
+  return std::make_tuple(std::cref(left.workspace.value()), left.timeliness,
                          OrderOf(left), left.work.value()) <
-         std::make_tuple(std::cref(right.workspace.value()), right.prospect,
+         std::make_tuple(std::cref(right.workspace.value()), right.timeliness,
                          OrderOf(right), right.work.value());
 }
 
 bool ByStart(const QueuedWork& left, const QueuedWork& right) {
-  return std::make_tuple(left.prospect, left.start_tag, OrderOf(left),
+  return std::make_tuple(left.timeliness, left.start_tag, OrderOf(left),
                          left.work.value()) <
-         std::make_tuple(right.prospect, right.start_tag, OrderOf(right),
+         std::make_tuple(right.timeliness, right.start_tag, OrderOf(right),
                          right.work.value());
 }
 
--- a/source/core/admission/admission_queue.h
+++ b/source/core/admission/admission_queue.h
@@ -1,15 +1,17 @@
-// The works that wait for a slot, in the order in which they are to start:
+// Queue of works that wait for a slot, in the order in which they start:
 // workspaces share the slots by weight (start-time fair queueing), and within a
 // workspace the earliest objective or deadline goes first.
 //
-// Load pattern: for some seconds more arrives than can be done in time. In the
-// order of deadlines everything is then answered just too late. So what cannot
-// be in time any more waits until nothing else does: the others stay in time.
+// Load pattern: for some seconds more requests arrive than can be answered in
+// time. In pure deadline order every one of them would be answered slightly too
+// late. So works that can no longer be in time (kLate) wait until there are no
+// others, and the others stay in time.
 //
-// Between the two is what can be in time but likely is not. It goes behind what
-// likely is, and the newest of it first, which has the best chance. Were it
-// taken for late, then at targets that are slow for some seconds, as all are
-// after a restart, nothing new would go before what is late for good.
+// Works that can be in time but probably will not (kPossible) go after those
+// that probably will (kLikely), newest first, since the newest has the best
+// chance. If they were treated as late, targets that are slow for some seconds,
+// as all are after a restart, would start no new request before the ones that
+// are already late.
 
 #ifndef BULRUSHMOUNT_CORE_ADMISSION_ADMISSION_QUEUE_H_
 #define BULRUSHMOUNT_CORE_ADMISSION_ADMISSION_QUEUE_H_
@@ -25,8 +27,8 @@
 
 namespace bulrushmount {
 
-// Whether an answer can still be in time, if the work started now.
-enum class Prospect : std::uint8_t { kLikely, kPossible, kLate };
+// Whether a work's answer can still be in time if the work starts now.
+enum class Timeliness : std::uint8_t { kLikely, kPossible, kLate };
 
 struct QueuedWork {
   WorkId work;
@@ -35,42 +37,45 @@
   double weight = 1.0;
   // Above 0.
   double share = 1.0;
-  // When the first byte of the answer must come.
+  // Latest time for the first byte of the answer.
   TimePoint deadline;
-  // Waits no longer than this, whatever the deadline.
+  // Latest start, independent of the deadline.
   TimePoint max_wait_ends;
-  // Refused from then on; empty if it may wait as long as others.
+  // Time at which a work that waits for an undisturbed target is refused; empty
+  // if it may wait as long as others.
   std::optional<TimePoint> hold_ends{};
-  // An answer after this is worth little; empty if none is better than another.
+  // Time after which an answer has little value to the caller; empty if there
+  // is no objective.
   std::optional<TimePoint> objective{};
-  // Of being answered by its objective; set by the queue.
-  Prospect prospect = Prospect::kLikely;
+  // Whether it can be answered by its objective; set by the queue.
+  Timeliness timeliness = Timeliness::kLikely;
   bool is_suspect = false;
-  // Set by the queue.
+  // Virtual start time of fair queueing; set by the queue.
   double start_tag = 0;
 };
 
-// Short: every change costs time in proportion to its length.
+// Intended for short queues: every change takes time proportional to the
+// length.
 class AdmissionQueue {
  public:
   void Push(QueuedWork work);
 
-  // Removes and returns the first work, or the first that is no suspect; the
-  // work is charged to its workspace as started.
+  // Removes and returns the first work, or the first that is not a suspect if
+  // `may_be_suspect` is false, and charges its cost to its workspace.
   std::optional<QueuedWork> PopFirst(bool may_be_suspect);
 
-  // Whether a work was waiting here under that id.
+  // Returns whether a work with that id was waiting.
   bool Remove(WorkId work);
 
-  // Notes what prospect each work has now, by `prospect(work)`. Whether the
-  // order may be another since.
-  template <typename ProspectOf>
-  bool NoteProspects(const ProspectOf& prospect) {
+  // Sets the timeliness of each work to `timeliness(work)`. Returns whether the
+  // order may have changed.
+  template <typename TimelinessOf>
+  bool UpdateTimeliness(const TimelinessOf& timeliness) {
     bool is_changed = false;
     for (QueuedWork& work : m_works) {
-      const Prospect now = prospect(work);
-      is_changed |= now != work.prospect;
-      work.prospect = now;
+      const Timeliness now = timeliness(work);
+      is_changed |= now != work.timeliness;
+      work.timeliness = now;
     }
     if (is_changed)
       Reorder();
@@ -80,10 +85,11 @@
   // Removes and returns the work that would start last. There must be one.
   QueuedWork PopLast();
 
-  // Forgets who had how much: nothing runs and nothing waits.
+  // Clears the queue and the shares that workspaces have used. Call it when
+  // nothing runs and nothing waits.
   void Reset();
 
-  // First to start first.
+  // In the order in which they start.
   const std::vector<QueuedWork>& works() const { return m_works; }
 
  private:
@@ -91,12 +97,12 @@
   void Charge(const QueuedWork& work);
   void Reorder();
 
-  // Sorted by (prospect, start_tag, when it is due).
+  // Sorted by (timeliness, start_tag, due time).
   std::vector<QueuedWork> m_works;
-  // The start tag of the last work that started; never falls but by `Reset`.
+  // Start tag of the last work that started; never decreases except by `Reset`.
   double m_virtual_time = 0;
-  // Where a workspace's next work may start. Entries at or below
-  // m_virtual_time say nothing and are dropped now and then.
+  // Virtual time at which a workspace's next work may start. Entries at or
+  // below m_virtual_time have no effect and are pruned occasionally.
   std::unordered_map<WorkspaceName, double> m_finish_tags;
 };
 
--- a/source/core/admission/cold_start_limiter.cc
+++ b/source/core/admission/cold_start_limiter.cc
@@ -10,17 +10,17 @@
 
 namespace {
 
-// The second in which a target counts, and how much later than it is decided a
-// request may reach the target.
+// The second over which a target's tolerance is defined, plus the maximum delay
+// between the decision to start a request and its arrival at the target.
 constexpr Duration kWindow =
     std::chrono::seconds(1) + std::chrono::milliseconds(50);
 
-// Starts since the last verification, as part of what is tolerated, after which
-// the target is asked again. The answer comes while the rest is used.
-constexpr double kVerifyFrom = 0.5;
+// Fraction of the tolerated starts since the last verification at which the
+// target is queried again. The answer arrives while the rest is used.
+constexpr double kVerifyFraction = 0.5;
 
-// A health endpoint that did not answer is asked again this much later.
-constexpr Duration kRetryVerification = std::chrono::milliseconds(100);
+// Delay before a health endpoint that did not answer is queried again.
+constexpr Duration kVerificationRetryDelay = std::chrono::milliseconds(100);
 
 std::size_t AtLeastOne(double count) {
   return static_cast<std::size_t>(std::max(1.0, std::floor(count)));
@@ -50,7 +50,7 @@
   m_cold_until = now + cold_time_left;
   if (cold_time_left > Duration::zero())
     return;
-  // What was started before the target answered went to a warm one.
+  // Starts before the query was sent reached a warm target.
   while (!m_starts.empty() && m_starts.front() <= asked_at)
     m_starts.pop_front();
   m_unknown_until = std::min(m_unknown_until, asked_at);
@@ -63,10 +63,10 @@
 bool ColdStartLimiter::NeedsVerification(TimePoint now) const {
   if (!is_limited() || IsCold(now))
     return false;
-  if (m_failed_at && now - *m_failed_at < kRetryVerification)
+  if (m_failed_at && now - *m_failed_at < kVerificationRetryDelay)
     return false;
   const auto starts = static_cast<double>(StartsInWindow(now));
-  return starts >= kVerifyFrom * static_cast<double>(Capacity(now));
+  return starts >= kVerifyFraction * static_cast<double>(Capacity(now));
 }
 
 std::optional<std::size_t> ColdStartLimiter::Concurrency(
@@ -86,8 +86,8 @@
   return WaitFor(now, 0) <= Duration::zero();
 }
 
-// The answer of the health endpoint, which is on its way, most likely ends the
-// wait of a target that is not known to be cold.
+// If the target is not known to be cold, a health query is pending, and its
+// answer most likely ends the wait.
 Duration ColdStartLimiter::ExpectedWait(TimePoint now,
                                         std::size_t ahead) const {
   if (!IsCold(now) && !m_failed_at)
@@ -105,10 +105,10 @@
 
 std::size_t ColdStartLimiter::Capacity(TimePoint now) const {
   const double capacity = *m_rate * m_settings.overage;
-  return now < m_unknown_until ? Reserve() : AtLeastOne(capacity);
+  return now < m_unknown_until ? UnknownWindowCapacity() : AtLeastOne(capacity);
 }
 
-std::size_t ColdStartLimiter::Reserve() const {
+std::size_t ColdStartLimiter::UnknownWindowCapacity() const {
   const double rest = *m_rate * m_settings.overage + m_settings.slack -
                       std::floor(*m_rate * m_settings.overage);
   return static_cast<std::size_t>(std::max(0.0, std::floor(rest)));
@@ -125,14 +125,14 @@
   if (!is_limited())
     return Duration::zero();
   const std::size_t capacity = Capacity(now);
-  // An earlier process may have used up what the target tolerates.
+  // An earlier process may have used up the tolerated starts.
   if (capacity == 0)
     return m_unknown_until - now;
   const std::size_t starts = StartsInWindow(now);
   if (starts + ahead < capacity)
     return Duration::zero();
-  // Each start lets another one in when it leaves the window: first those that
-  // were made, then those that can be made now, then their successors.
+  // Each start allows another one when it leaves the window: first the recorded
+  // starts, then those that can be made now, then their successors.
   const std::size_t leaving = starts + ahead - capacity;
   const std::size_t turn = leaving % capacity;
   const auto windows = static_cast<std::int64_t>(leaving / capacity) + 1;
--- a/source/core/admission/concurrency_limit.h
+++ b/source/core/admission/concurrency_limit.h
@@ -1,4 +1,5 @@
-// How many requests the owner lets its target run at once.
+// Interface for the number of requests that an owner runs concurrently on its
+// target.
 
 #ifndef BULRUSHMOUNT_CORE_ADMISSION_CONCURRENCY_LIMIT_H_
 #define BULRUSHMOUNT_CORE_ADMISSION_CONCURRENCY_LIMIT_H_
@@ -10,15 +11,17 @@
 
 namespace bulrushmount {
 
-// One answer, as far as it says something of the target's speed.
+// Latency of one answer, for estimates of the target's speed.
 struct LatencySample {
   KindName kind;
-  // From handing over to the first byte of the answer. What comes after
-  // depends on how fast the caller reads.
+  // Time from handing the request to the target until the first byte of the
+  // answer. Later bytes are excluded because they depend on how fast the caller
+  // reads.
   Duration first_byte{};
-  // Requests that ran when this one was handed over, itself included.
+  // Requests in flight when this one was handed over, including itself.
   std::uint32_t in_flight = 0;
-  // By the target's own word when this one was handed over; 1 without one.
+  // Slowdown that the target reported when this one was handed over; 1 without
+  // a report.
   double slowdown = 1.0;
 };
 
@@ -26,7 +29,7 @@
  public:
   virtual ~ConcurrencyLimit() = default;
 
-  // The announced slots. At least 1, or 0 when there is no target.
+  // Sets the announced slots: at least 1, or 0 if there is no target.
   virtual void SetSlots(std::uint32_t slots) = 0;
 
   virtual void OnAnswer(TimePoint now, const LatencySample& sample) = 0;
@@ -35,7 +38,7 @@
   virtual std::uint32_t limit() const = 0;
 };
 
-// Takes the announced slots at their word.
+// Always allows the announced number of slots.
 class FixedLimit : public ConcurrencyLimit {
  public:
   void SetSlots(std::uint32_t slots) override { m_slots = slots; }
--- a/source/core/admission/knee_limit.h
+++ b/source/core/admission/knee_limit.h
@@ -1,15 +1,16 @@
-// Learns whether the target slows down when it is nearly full, and then stays
-// below that.
+// Detects whether the target slows down when it is nearly full (has a knee),
+// and then limits its concurrency to below the knee.
 //
-// Load pattern: all targets of a service are near their slots. Some kinds of
-// target then take much longer for each request (a knee): nine slots at 1.7
-// times the usual time get less done than seven at the usual one. Others do
-// not, and staying below would waste a fifth of them.
+// Load pattern: all targets of a service are near their slots. Targets with a
+// knee then take much longer for each request: nine slots at 1.7 times the
+// normal service time have a lower throughput than seven at the normal one.
+// Targets without a knee do not slow down, and a lower limit would waste a
+// fifth of their capacity.
 //
-// While nothing is known a target is kept uncrowded but for a trial now and
-// then. Filling it until a knee is known costs most after a restart of all,
-// when targets are cold and as many come as ever: everything is then slow twice
-// over and nothing in time.
+// Until there is an estimate, the target is kept below the congestion threshold
+// except for occasional trial starts. Filling it until a knee is detected would
+// cost most after all targets restart, when they are cold and the load is
+// unchanged: requests would be slowed down twice, and none would be in time.
 
 #ifndef BULRUSHMOUNT_CORE_ADMISSION_KNEE_LIMIT_H_
 #define BULRUSHMOUNT_CORE_ADMISSION_KNEE_LIMIT_H_
@@ -25,38 +26,40 @@
  public:
   void SetSlots(std::uint32_t slots) override;
   void OnAnswer(TimePoint now, const LatencySample& sample) override;
-  // The slots if there is no knee, else `uncrowded()`; while that is not known,
-  // one more than that in some starts.
+  // The slots if there is no knee, else `uncongested_limit()`. Without an
+  // estimate, `uncongested_limit()`, and one more for trial starts.
   std::uint32_t limit() const override;
 
-  // Requests that run without crowding the target; at least 1 with any slot.
-  std::uint32_t uncrowded() const;
-  // How much longer a request takes that starts on the crowded target: of the
-  // kind that is held up least. A knee holds up all kinds alike. A request that
-  // calls another service also waits for that, and takes longer when the whole
-  // fleet is busy; it says nothing of this target.
-  double crowding() const;
+  // Number of requests that run without congesting the target; at least 1 if
+  // there is any slot.
+  std::uint32_t uncongested_limit() const;
+  // Ratio of the service time at starts on the congested target to the
+  // baseline, for the request kind with the smallest ratio. A knee slows down
+  // all kinds alike. A request that calls another service also waits for that
+  // one and takes longer when the whole fleet is busy, which is not a property
+  // of this target.
+  double congestion_slowdown() const;
 
  private:
-  bool IsKnown() const;
-  void ForgetCrowding();
+  bool HasEstimate() const;
+  void ResetCongestion();
 
   std::uint32_t m_slots = 0;
-  // What is learnt of one kind.
+  // Statistics of one request kind.
   struct Kind {
-    // Of starts that found the target uncrowded: mean of the logarithm of the
-    // time in seconds, and how many it is made of.
-    double log_usual = 0;
+    // For starts on the uncongested target: mean of the logarithm of the
+    // service time in seconds, and number of samples.
+    double log_baseline = 0;
     std::uint32_t answers = 0;
-    // Of starts that found it crowded: mean of the logarithm of time over usual
-    // time.
-    double log_crowding = 0;
-    std::uint32_t crowded_answers = 0;
+    // For starts on the congested target: mean of the logarithm of the service
+    // time over the baseline, and number of samples.
+    double log_congestion_slowdown = 0;
+    std::uint32_t congested_answers = 0;
   };
 
   std::unordered_map<KindName, Kind> m_kinds;
-  TimePoint m_learnt_at;
-  // Uncrowded answers since the last crowded one.
+  TimePoint m_congested_answer_at;
+  // Answers of uncongested starts since the last one of a congested start.
   std::uint32_t m_answers_since_trial = 0;
 };
 
--- a/source/core/admission/ranked_queue.cc
+++ b/source/core/admission/ranked_queue.cc
@@ -10,10 +10,10 @@
 
 namespace {
 
-// A rank has this many times the share of the next one. With two, the third
-// rank keeps a seventh of the time whatever comes, so that no kind starves.
-constexpr double kShareStep = 2.0;
-// Ranks beyond have this one's share.
+// Ratio of a rank's share to that of the next one. With 2, the third rank keeps
+// a seventh of the time under any load, so that no request kind starves.
+constexpr double kShareRatio = 2.0;
+// Less urgent ranks have the share of this one.
 constexpr Rank kLeastShareFrom = 8;
 
 }  // namespace
@@ -32,7 +32,7 @@
   if (first == m_works.end())
     return std::nullopt;
   const Rank rank = RankOf(first->work);
-  Waiting& waiting = m_ranks.at(rank);
+  RankQueue& waiting = m_ranks.at(rank);
   const double tag = FirstTagOf(waiting);
   std::optional<QueuedWork> work = waiting.queue.PopFirst(may_be_suspect);
   m_virtual_time = std::max(m_virtual_time, tag);
@@ -74,16 +74,16 @@
   return count;
 }
 
-double RankedQueue::FirstTagOf(const Waiting& waiting) const {
+double RankedQueue::FirstTagOf(const RankQueue& waiting) const {
   return std::max(m_virtual_time, waiting.finish_tag);
 }
 
-double RankedQueue::ScaleOf(Rank rank) {
-  return std::pow(kShareStep, std::min(rank, kLeastShareFrom));
+double RankedQueue::CostFactorOf(Rank rank) {
+  return std::pow(kShareRatio, std::min(rank, kLeastShareFrom));
 }
 
 double RankedQueue::CostOf(Rank rank, WorkId work) const {
-  return ToSeconds(m_costs.at(work).second) * ScaleOf(rank);
+  return ToSeconds(m_costs.at(work).second) * CostFactorOf(rank);
 }
 
 Rank RankedQueue::RankOf(WorkId work) const {
@@ -104,7 +104,7 @@
       tag += CostOf(rank, work.work);
     }
   }
-  // Within a rank the order is the queue's, whose tags rise.
+  // Within a rank this keeps the order of its queue, since tags increase.
   std::stable_sort(tagged.begin(), tagged.end(),
                    [](const TaggedWork& one, const TaggedWork& other) {
                      return std::pair(one.tag, one.rank) <
--- a/source/core/admission/service_times.cc
+++ b/source/core/admission/service_times.cc
@@ -9,36 +9,38 @@
 
 namespace {
 
-// Weight of one request in the means, once some are known.
+// Weight of one sample in the means once there are more than 1 / kGain.
 constexpr double kGain = 0.1;
 
-// A request counts as at most this multiple of the mean. One download of two
-// hours among lookups would otherwise make the queue look hopeless for long;
-// a target that has really slowed still shows after a few requests.
+// Caps a sample at this multiple of the mean. Otherwise a single two-hour
+// download among lookups would make the queue refuse requests for long. A
+// target that has really slowed down still shows after a few requests.
 constexpr double kMaxRatio = 8.0;
 
-// Kinds come from contracts; more than this are taken by their weight alone.
+// Bounds memory, since the contracts may name any number of kinds. Further
+// kinds are estimated by their weight alone.
 constexpr std::size_t kMaxKinds = 64;
 
-// Of a normal spread, six in seven are below the mean plus 1.3 times the mean
-// distance from it.
+// In a normal distribution, six of seven values are below the mean plus 1.3
+// times the mean absolute deviation.
 constexpr double kLikelyDeviations = 1.3;
 
-// The first samples count alike, and the first alone replaces what was assumed.
+// The first samples have equal weights, and the first one replaces the initial
+// estimate.
 //
-// Symptom without it: for seconds after a restart of all, owners take requests
-// of 340 ms for such of 20 ms. They refuse last attempts that could wait, and
-// start what is late before what is not.
+// Failure without this: for seconds after all nodes and targets restart, owners
+// estimate 20 ms for requests that take 340 ms. They refuse last attempts that
+// could wait, and start late works before those that can be in time.
 double GainAfter(std::uint32_t samples) {
   return std::max(kGain, 1.0 / (samples + 1));
 }
 
-double Bounded(double sample, double mean, std::uint32_t samples) {
+double Capped(double sample, double mean, std::uint32_t samples) {
   return samples == 0 ? sample : std::min(sample, kMaxRatio * mean);
 }
 
-void Follow(double& mean, std::uint32_t& samples, double sample) {
-  mean += GainAfter(samples) * (Bounded(sample, mean, samples) - mean);
+void UpdateMean(double& mean, std::uint32_t& samples, double sample) {
+  mean += GainAfter(samples) * (Capped(sample, mean, samples) - mean);
   ++samples;
 }
 
@@ -51,35 +53,35 @@
 void ServiceTimes::OnFirstByte(const KindName& kind,
                                double weight,
                                Duration elapsed) {
-  Follow(m_per_unit.first_byte, m_per_unit.first_bytes,
-         ToSeconds(elapsed) / weight);
-  Means* const means = Learn(kind, weight);
+  UpdateMean(m_per_unit.first_byte, m_per_unit.first_bytes,
+             ToSeconds(elapsed) / weight);
+  Means* const means = MeansOf(kind, weight);
   if (!means)
     return;
   const std::uint32_t samples = means->first_bytes;
-  const double seconds =
-      Bounded(ToSeconds(elapsed), means->first_byte, samples);
-  // How far the first one is from what was assumed says nothing.
+  const double seconds = Capped(ToSeconds(elapsed), means->first_byte, samples);
+  // The first sample's distance from the initial estimate is not a measure of
+  // the spread.
   if (samples > 0) {
     const double distance = std::abs(seconds - means->first_byte);
     means->first_byte_deviation +=
         GainAfter(samples - 1) * (distance - means->first_byte_deviation);
   }
-  Follow(means->first_byte, means->first_bytes, seconds);
+  UpdateMean(means->first_byte, means->first_bytes, seconds);
 }
 
 void ServiceTimes::OnSlotFreed(const KindName& kind,
                                double weight,
                                Duration elapsed) {
-  Follow(m_per_unit.slot_time, m_per_unit.slot_times,
-         ToSeconds(elapsed) / weight);
-  if (Means* means = Learn(kind, weight))
-    Follow(means->slot_time, means->slot_times, ToSeconds(elapsed));
+  UpdateMean(m_per_unit.slot_time, m_per_unit.slot_times,
+             ToSeconds(elapsed) / weight);
+  if (Means* means = MeansOf(kind, weight))
+    UpdateMean(means->slot_time, means->slot_times, ToSeconds(elapsed));
 }
 
-void ServiceTimes::OnCutShort(const KindName& kind,
-                              double weight,
-                              Duration elapsed) {
+void ServiceTimes::OnAborted(const KindName& kind,
+                             double weight,
+                             Duration elapsed) {
   if (elapsed > FirstByte(kind, weight))
     OnFirstByte(kind, weight, elapsed);
   if (elapsed > SlotTime(kind, weight))
@@ -117,7 +119,8 @@
   return FromSeconds(m_per_unit.slot_time);
 }
 
-ServiceTimes::Means* ServiceTimes::Learn(const KindName& kind, double weight) {
+ServiceTimes::Means* ServiceTimes::MeansOf(const KindName& kind,
+                                           double weight) {
   const auto found = m_kinds.find(kind);
   if (found != m_kinds.end())
     return &found->second;
--- a/source/core/admission/service_times.h
+++ b/source/core/admission/service_times.h
@@ -1,5 +1,6 @@
-// How long the target takes for a request, learnt kind by kind: a weight says
-// what a request costs its workspace, not how long it runs.
+// Estimates of the target's service time for each request kind. They are
+// measured per kind because a request's weight is its cost to the workspace,
+// not its run time.
 
 #ifndef BULRUSHMOUNT_CORE_ADMISSION_SERVICE_TIMES_H_
 #define BULRUSHMOUNT_CORE_ADMISSION_SERVICE_TIMES_H_
@@ -14,28 +15,30 @@
 
 class ServiceTimes {
  public:
-  // `initial` is for a request of weight 1 while nothing has been learnt.
+  // `initial` is the estimate for a request of weight 1 until there are
+  // samples.
   explicit ServiceTimes(Duration initial);
 
-  // From handing over to the first byte of the answer.
+  // `elapsed`: from handing the request to the target until the first byte of
+  // the answer.
   void OnFirstByte(const KindName& kind, double weight, Duration elapsed);
-  // From handing over to the end: how long the slot was taken.
+  // `elapsed`: how long the request held its slot.
   void OnSlotFreed(const KindName& kind, double weight, Duration elapsed);
-  // The work was cut short after `elapsed`: it would have taken longer. Counts
-  // only if that is longer than expected. Without it, a target that slows
-  // beyond all deadlines would keep its old figures.
-  void OnCutShort(const KindName& kind, double weight, Duration elapsed);
+  // The request was aborted after `elapsed`, so it would have taken longer;
+  // counts only if that exceeds the estimate. Without this, a target that slows
+  // down beyond all deadlines would keep its old estimates.
+  void OnAborted(const KindName& kind, double weight, Duration elapsed);
 
   Duration FirstByte(const KindName& kind, double weight) const;
-  // Within which six in seven first bytes come, where times spread about as
-  // much above their mean as below.
+  // Time within which about six of seven first bytes arrive, if service times
+  // are spread symmetrically around their mean.
   Duration LikelyFirstByte(const KindName& kind, double weight) const;
   Duration SlotTime(const KindName& kind, double weight) const;
 
-  // A request has been answered.
-  bool is_known() const { return m_per_unit.first_bytes > 0; }
+  // Whether any request has been answered.
+  bool has_samples() const { return m_per_unit.first_bytes > 0; }
 
-  // Recent means for a request of weight 1, over all kinds.
+  // Recent means over all kinds for a request of weight 1.
   Duration first_byte_per_unit() const;
   Duration slot_time_per_unit() const;
 
@@ -44,17 +47,18 @@
   struct Means {
     double first_byte = 0;
     double slot_time = 0;
-    // How far first bytes are from their mean.
+    // Mean absolute deviation of the time to the first byte.
     double first_byte_deviation = 0;
-    // How many of each have been learnt.
+    // Number of samples in each mean.
     std::uint32_t first_bytes = 0;
     std::uint32_t slot_times = 0;
   };
 
-  // Null if there are too many kinds.
-  Means* Learn(const KindName& kind, double weight);
+  // Returns the means of the kind and creates them if needed; null if there are
+  // already kMaxKinds others.
+  Means* MeansOf(const KindName& kind, double weight);
 
-  // A kind starts from these, times its weight.
+  // Over all kinds. The means of a new kind start at these times its weight.
   Means m_per_unit;
   std::unordered_map<KindName, Means> m_kinds;
 };
--- a/source/core/admission/start_gate.h
+++ b/source/core/admission/start_gate.h
@@ -1,5 +1,5 @@
-// Decides when an admission may start the next request, in addition to the
-// number of free slots.
+// Interface that restricts when an admission may start the next request, in
+// addition to the number of free slots.
 
 #ifndef BULRUSHMOUNT_CORE_ADMISSION_START_GATE_H_
 #define BULRUSHMOUNT_CORE_ADMISSION_START_GATE_H_
@@ -16,14 +16,15 @@
 
   virtual bool MayStart(TimePoint now) const = 0;
 
-  // Until the gate lets a request start behind `ahead` others; 0 if at once.
+  // Time until the gate admits a request with `ahead` others before it; 0 if it
+  // does now.
   virtual Duration ExpectedWait(TimePoint now, std::size_t ahead) const = 0;
 
-  // A request is handed to the target now.
+  // Records that a request is handed to the target.
   virtual void OnStarted(TimePoint now) = 0;
 };
 
-// Leaves it to the slots.
+// Never delays a start; only the slots limit it.
 class OpenStartGate : public StartGate {
  public:
   bool MayStart(TimePoint) const override { return true; }
--- a/source/core/admission/usual_speed.h
+++ b/source/core/admission/usual_speed.h
@@ -1,6 +1,6 @@
-// What a target's told slowdown usually is of late: a target within its cold
-// start, or on a machine that is busy for good, is slow without being
-// disturbed.
+// Baseline of a target's reported slowdown, relative to which it counts as
+// disturbed. A target in its cold start, or on a machine that is permanently
+// busy, is slow without being disturbed.
 
 #ifndef BULRUSHMOUNT_CORE_ADMISSION_USUAL_SPEED_H_
 #define BULRUSHMOUNT_CORE_ADMISSION_USUAL_SPEED_H_
@@ -12,14 +12,15 @@
 
 namespace bulrushmount {
 
-// The least slowdown told within one to two windows before now.
-class UsualSpeed {
+// Minimum of the slowdowns that were reported within the last one to two
+// windows.
+class SlowdownBaseline {
  public:
-  explicit UsualSpeed(Duration window) : m_window(window) {}
+  explicit SlowdownBaseline(Duration window) : m_window(window) {}
 
   void OnReported(TimePoint now, double slowdown) {
     if (!m_current || now - m_begun >= m_window) {
-      // A window without a word says nothing of the one before it.
+      // A window that ended more than one window ago is too old to be used.
       m_previous =
           m_current && now - m_begun < 2 * m_window ? m_current : std::nullopt;
       m_current = slowdown;
@@ -28,7 +29,7 @@
     m_current = std::min(*m_current, slowdown);
   }
 
-  // 1 before the first word.
+  // 1 before the first report.
   double slowdown() const {
     const double current = m_current.value_or(1.0);
     return m_previous ? std::min(current, *m_previous) : current;
--- a/source/unit_tests/core/admission/adaptive_limit_test.cc
+++ b/source/unit_tests/core/admission/adaptive_limit_test.cc
@@ -22,7 +22,7 @@
  protected:
   AdaptiveLimitTest() { m_limit.SetSlots(kSlots); }
 
-  // A thousand answers a second for `time`, with the spread of real ones.
+  // Feeds a thousand answers a second for `time`, with a realistic spread.
   void Answer(const std::string& kind, Duration time, double mean_ms) {
     std::lognormal_distribution<double> spread(0, 0.5);
     for (const TimePoint end = m_now + time; m_now < end; m_now += 1ms) {
@@ -43,10 +43,10 @@
   EXPECT_EQ(m_lowest, kSlots);
 }
 
-// Symptom: a target with a noisy neighbour runs everything slowly.
-// Sequence: latency trebles, and later is as before.
-// Cause: the announced slots are taken at their word.
-TEST_F(AdaptiveLimitTest, FallsWithNoiseAndRecovers) {
+// Guards against a target that stays overcommitted under interference: with a
+// fixed limit at the announced slots, everything runs slowly while latency is
+// tripled. The limit must recover with the latency.
+TEST_F(AdaptiveLimitTest, FallsUnderInterferenceAndRecovers) {
   Answer("browse", 5s, 10);
   Answer("browse", 2s, 30);
   EXPECT_LT(m_limit.limit(), kSlots);
@@ -55,20 +55,19 @@
   EXPECT_EQ(m_limit.limit(), kSlots);
 }
 
-// Symptom: the limit falls at the hour when more downloads come.
-// Sequence: quick lookups only, then mostly downloads that take 20x as long.
-// Cause: a change of mix taken for a change of speed.
-TEST_F(AdaptiveLimitTest, ChangeOfMixIsNoNoise) {
+// Guards against a limit that falls when the mix shifts from short lookups to
+// downloads that take 20 times as long, although the speed is the same.
+TEST_F(AdaptiveLimitTest, ChangeOfMixDoesNotLowerTheLimit) {
   Answer("lookup", 5s, 5);
   Answer("download", 5s, 100);
   Answer("lookup", 5s, 5);
   EXPECT_EQ(m_lowest, kSlots);
 }
 
-// Symptom: a target stays throttled for good.
-// Sequence: its requests become slower once and for all, by a new release.
-// Cause: a baseline that never rises.
-TEST_F(AdaptiveLimitTest, GetsUsedToALastingChange) {
+// Guards against a target that stays throttled after its requests became
+// permanently slower, such as by a new release, because its baseline never
+// rises.
+TEST_F(AdaptiveLimitTest, BaselineFollowsALastingChange) {
   Answer("browse", 5s, 10);
   Answer("browse", 300s, 30);
   EXPECT_EQ(m_limit.limit(), kSlots);
@@ -82,7 +81,7 @@
 class AdaptiveLimitFloorTest : public AdaptiveLimitTest,
                                public testing::WithParamInterface<SlotsCase> {};
 
-TEST_P(AdaptiveLimitFloorTest, NeverSinksBelowTheFloor) {
+TEST_P(AdaptiveLimitFloorTest, NeverFallsBelowTheFloor) {
   m_limit.SetSlots(GetParam().slots);
   Answer("browse", 5s, 10);
   Answer("browse", 5s, 1000);
--- a/source/unit_tests/core/admission/admission_queue_test.cc
+++ b/source/unit_tests/core/admission/admission_queue_test.cc
@@ -1,5 +1,5 @@
-// Tests of `core/admission/admission_queue.h` against a naive version that
-// works out every start tag from scratch.
+// Tests of `core/admission/admission_queue.h` against a naive implementation
+// that computes every start tag from scratch.
 
 #include "core/admission/admission_queue.h"
 
@@ -14,7 +14,7 @@
 namespace bulrushmount {
 namespace {
 
-// Start-time fair queueing as the textbook has it; nothing is kept sorted.
+// Textbook start-time fair queueing; nothing is kept sorted.
 class NaiveQueue {
  public:
   void Push(const QueuedWork& work) { m_works.push_back(work); }
@@ -93,7 +93,7 @@
   RC_ASSERT(actual == expected);
 }
 
-RC_GTEST_PROP(AdmissionQueueTest, KeepsTheOrderOfTheNaiveVersion, ()) {
+RC_GTEST_PROP(AdmissionQueueTest, MatchesTheNaiveOrder, ()) {
   AdmissionQueue queue;
   NaiveQueue naive;
   const int steps = *rc::gen::inRange(1, 80);
--- a/source/unit_tests/core/admission/admission_test.cc
+++ b/source/unit_tests/core/admission/admission_test.cc
@@ -1,5 +1,5 @@
-// Tests of `core/admission/admission.h`: failures one by one, and a ledger that
-// watches every output under generated events.
+// Tests of `core/admission/admission.h`: single failures, and invariants that
+// are checked on every output of generated events.
 
 #include "core/admission/admission.h"
 
@@ -64,7 +64,7 @@
   Admission m_admission;
   TimePoint m_now{1s};
   std::uint64_t m_last_id = 0;
-  // In the order of their starts; kept by Arrive and EndOldest.
+  // In the order of their starts; updated by Arrive and EndOldest.
   std::deque<WorkId> m_running;
 };
 
@@ -84,10 +84,9 @@
   EXPECT_TRUE(Arrive("a", 1s).start.empty());
 }
 
-// Symptom: a request that can only expire waits until it does.
-// Sequence: all slots are taken; a request comes that has less time left than
-// a slot needs to come free and the request to run.
-// Cause: a queue that looks at deadlines only when they pass.
+// Guards against a request that waits until it expires although it can never
+// start in time: it has less time left than the wait for a slot and its service
+// time.
 TEST_F(AdmissionTest, RefusesOnArrivalWhatCannotStartInTime) {
   FillSlots("a");
   const auto output = Arrive("a", 11ms);
@@ -95,12 +94,10 @@
   EXPECT_EQ(output.refuse[0].reason, Reason::kOverloaded);
 }
 
-// Symptom: after a slow spell an idle target turns everything away for good.
-// Sequence: requests were cut short after 1 s each; the target is idle; a
-// request with 100 ms left comes.
-// Cause: the learnt time exceeds every deadline, and nothing runs that could
-// correct it.
-TEST_F(AdmissionTest, IdleTargetTakesARequestWhateverWasLearnt) {
+// Guards against an idle target that refuses everything after a slow period:
+// the estimate exceeds every deadline, and no request runs that could correct
+// it.
+TEST_F(AdmissionTest, IdleTargetStartsARequestDespiteLongServiceTimes) {
   for (int round = 0; round < 20; ++round) {
     Arrive("a", 10s);
     m_now += 1s;
@@ -110,11 +107,10 @@
   EXPECT_EQ(Arrive("a", 100ms).refuse.size(), 1U);
 }
 
-// Symptom: after a spell of errors requests are refused, or held for too long,
-// by figures that are far too low.
-// Sequence: the target answers 500 within 0.1 ms for a while.
-// Cause: the time of an error taken for the time of a request.
-TEST_F(AdmissionTest, ServerErrorsSayNothingOfSpeed) {
+// Guards against service times that are far too low after a period of errors,
+// by which requests are refused or wait too long: a 500 within 0.1 ms is no
+// sample.
+TEST_F(AdmissionTest, ServerErrorsDoNotChangeServiceTimes) {
   for (int round = 0; round < 100; ++round) {
     Arrive("a", 1s);
     m_now += std::chrono::microseconds(100);
@@ -124,10 +120,8 @@
   EXPECT_EQ(m_admission.load().service_time, Duration(10ms));
 }
 
-// Symptom: a caller with a deadline of 10 s hears after nearly 10 s that its
-// request was not run.
-// Sequence: all slots are taken; a request queues; the target freezes.
-// Cause: the wait was estimated once, on arrival, from what no longer holds.
+// Guards against a queued request that is refused only after nearly 10 s when
+// the target freezes: its wait must be estimated again after its arrival.
 TEST_F(AdmissionTest, RefusesEarlyWhenNothingEnds) {
   FillSlots("a");
   ASSERT_TRUE(Arrive("a", 10s).refuse.empty());
@@ -145,10 +139,8 @@
   EXPECT_FALSE(m_admission.NextWakeup().has_value());
 }
 
-// Symptom: lookups wait in vain although another target is free.
-// Sequence: downloads have held all slots for 10 s; a lookup comes.
-// Cause: a slot that is expected free after the usual time, however long it has
-// been held already.
+// Guards against requests that wait for slots held by long downloads: a slot
+// held for 10 s must not be expected to become free after the mean time.
 TEST_F(AdmissionTest, LongRunningWorksFreeNoSlotSoon) {
   FillSlots("a");
   m_now += 10s;
@@ -157,10 +149,9 @@
   EXPECT_EQ(output.refuse[0].reason, Reason::kOverloaded);
 }
 
-// Symptom: a burst that would pass in 40 ms makes calls fail that have 1 s
-// left. Sequence: slots are full; works queue until the short wait is used up;
-// then one comes that its entry cannot send elsewhere. Cause: a queue that is
-// short although nobody else will take the work.
+// Guards against failing calls with 1 s left in a burst of 40 ms: a request
+// that its entry cannot send elsewhere waits longer than the short queue allows
+// others.
 TEST_F(AdmissionTest, LastAttemptWaitsOutABurst) {
   FillSlots("a");
   while (Arrive("a", 1s).refuse.empty()) {
@@ -171,11 +162,10 @@
       m_admission.Arrive(m_now, WorkId(++m_last_id), request).refuse.empty());
 }
 
-// Symptom: under a lasting overload every answer comes close to its deadline.
-// Sequence: works have been waiting for two seconds on end; a last attempt
-// comes.
-// Cause: the wait that is right for a burst, granted for good.
-TEST_F(AdmissionTest, LastAttemptIsNotHeldUnderLastingOverload) {
+// Guards against answers that all come close to their deadlines under a lasting
+// overload: after two seconds of constant waiting, a last attempt no longer
+// gets the long wait that is meant for bursts.
+TEST_F(AdmissionTest, LastAttemptIsRefusedUnderLastingOverload) {
   FillSlots("a");
   for (int step = 0; step < 2000; ++step) {
     m_now += 1ms;
@@ -192,14 +182,11 @@
       1U);
 }
 
-// Symptom: callers with seconds left are refused after waits of milliseconds,
-// for as long as a few more of them call than the target has slots.
-// Sequence: sixteen callers, each with one call at a time and 4 s for it; four
-// slots; a call takes 2 ms; nobody else serves it.
-// Cause: a wait that is bounded by how long calls run, however much time theirs
-// leaves: sixteen calls of 2 ms on end count as a lasting overload, and 4 ms as
-// all that may be waited.
-TEST_F(AdmissionTest, WaitsThatAreNothingToTheCallerRefuseNobody) {
+// Guards against refusing callers with 4 s left after a wait of milliseconds.
+// Sixteen callers with one call each share four slots at 2 ms a call; a wait
+// bounded by service times alone takes this for a lasting overload and allows
+// only 4 ms.
+TEST_F(AdmissionTest, WaitsShortForTheTimeLeftAreNotRefused) {
   AdmissionRequest request = RequestOf("a", 4s);
   request.is_last_attempt = true;
   std::size_t refused = 0;
@@ -220,15 +207,14 @@
   EXPECT_EQ(refused, 0U) << "of " << m_last_id;
 }
 
-// Symptom: one workspace's flood makes another's requests fail.
-// Sequence: a flood fills slots and queue; another workspace's request comes.
-// Cause: a full queue that refuses the newcomer, whoever it is.
+// Guards against a full queue that refuses a workspace's request because
+// another workspace floods slots and queue.
 class AdmissionShortQueueTest : public AdmissionTest {
  protected:
   AdmissionShortQueueTest() : AdmissionTest({.queue_per_slot = 1}) {}
 };
 
-TEST_F(AdmissionShortQueueTest, FloodPushesOutItsOwnWorksOnly) {
+TEST_F(AdmissionShortQueueTest, OverflowRefusesTheFloodingWorkspaceOnly) {
   FillSlots("flood");
   for (std::uint32_t count = 0; count < 2 * kSlots; ++count)
     Arrive("flood", 1s);
@@ -240,10 +226,9 @@
   EXPECT_EQ(ended.start, std::vector<WorkId>{quiet});
 }
 
-// Symptom: a leaving target gets new work.
-// Sequence: slots are full, one work waits, the target withdraws, a slot comes
-// free, and a request arrives from an entry that has not heard.
-// Cause: a queue that outlives the withdrawal, or trust in what entries know.
+// Guards against new work for a target that withdraws: waiting works are
+// refused, and so are requests from entries that do not yet know of the
+// withdrawal.
 TEST_F(AdmissionTest, DrainingStartsNothing) {
   FillSlots("a");
   Arrive("a", 1s);
@@ -261,10 +246,8 @@
   EXPECT_EQ(Arrive("a", 1s).start.size(), 1U);
 }
 
-// Symptom: two suspects of crashing the target run on it together, and its
-// crash convicts neither.
-// Sequence: a suspect runs; another one and a plain request come.
-// Cause: suspects treated as any other work.
+// Guards against two suspects that run on the target together, so that a crash
+// identifies neither as its cause.
 TEST_F(AdmissionTest, SuspectsRunOneByOne) {
   AdmissionRequest suspect = RequestOf("a", 1s);
   suspect.is_suspect = true;
@@ -276,9 +259,8 @@
             std::vector<WorkId>{WorkId(2)});
 }
 
-// Symptom: a suspect is held until its deadline behind a frozen one.
-// Sequence: a suspect runs and does not end; slots are free; another waits.
-// Cause: a wait that is estimated from free slots only.
+// Guards against a suspect that waits until its deadline behind a frozen
+// suspect although other slots are free.
 TEST_F(AdmissionTest, BlockedSuspectIsRefusedEarly) {
   AdmissionRequest suspect = RequestOf("a", 10s);
   suspect.is_suspect = true;
@@ -294,14 +276,14 @@
   EXPECT_LT(m_now - arrived, 50ms);
 }
 
-// Watches outputs: what waits, what runs, and that nothing else is ever named.
-class Ledger {
+// Tracks waiting and running works, and asserts that outputs name no others.
+class WorkTracker {
  public:
   void Arrived(WorkId work, const AdmissionRequest& request, TimePoint now) {
     m_waiting[work] = {request, now + request.time_left};
   }
 
-  // `limit` as it is when the output is made.
+  // `limit`: the limit when the output was made.
   void Apply(const AdmissionOutput& output, std::uint32_t limit) {
     for (const AdmissionRefusal& refusal : output.refuse)
       RC_ASSERT(m_waiting.erase(refusal.work) == 1);
@@ -322,7 +304,7 @@
     m_waiting.erase(work);
   }
 
-  // No slot stands idle while a work that may start waits.
+  // Whether no slot is idle while a work waits that may start.
   bool IsWorkConserving(std::uint32_t limit) const {
     if (m_running.size() >= limit)
       return true;
@@ -377,7 +359,7 @@
 
 RC_GTEST_PROP(AdmissionPropertyTest, EachWorkEndsInExactlyOneWay, ()) {
   Admission admission(AdmissionSettings{}, std::make_unique<FixedLimit>());
-  Ledger ledger;
+  WorkTracker tracker;
   TimePoint now{1s};
   std::uint64_t last_id = 0;
   std::uint32_t limit = 0;
@@ -391,16 +373,16 @@
     if (choice < 9) {
       const AdmissionRequest request = GenerateRequest();
       const WorkId work(++last_id);
-      ledger.Arrived(work, request, now);
+      tracker.Arrived(work, request, now);
       output = admission.Arrive(now, work, request);
     } else if (choice < 13) {
-      // Only what runs can end; for the rest it must change nothing.
-      const auto before = ledger.running();
+      // Only a running work can end; for any other id nothing may change.
+      const auto before = tracker.running();
       output = admission.OnEnded(now, any, WorkEnd::kAnswered);
       if (admission.load().in_flight < before + output.start.size())
-        ledger.Ended(any);
+        tracker.Ended(any);
     } else if (choice < 15) {
-      ledger.Ended(any);
+      tracker.Ended(any);
       output = admission.OnCancelled(now, any);
     } else if (choice < 18) {
       output = admission.OnTimer(now);
@@ -411,35 +393,34 @@
       limit = 0;
       output = admission.Drain(now);
     }
-    ledger.Apply(output, limit);
+    tracker.Apply(output, limit);
     const LoadReport load = admission.load();
     RC_ASSERT(load.limit == limit);
-    RC_ASSERT(load.in_flight == ledger.running());
-    RC_ASSERT(load.queued == ledger.waiting());
+    RC_ASSERT(load.in_flight == tracker.running());
+    RC_ASSERT(load.queued == tracker.waiting());
     RC_ASSERT(load.queued <= 8 * limit);
-    RC_ASSERT(ledger.IsWorkConserving(limit));
+    RC_ASSERT(tracker.IsWorkConserving(limit));
     RC_ASSERT(admission.NextWakeup().has_value() == (load.queued > 0));
   }
 }
 
-// --- Requests that are kept for a better start ------------------------------
+// --- Requests that are held while the target is disturbed --------------------
 
 struct HoldCase {
   const char* name;
-  // The disturbance ends this long after the arrival.
+  // Time from the arrival to the end of the disturbance.
   Duration disturbed;
   bool is_started;
-  // When it starts or is refused.
-  Duration settled_at;
+  // Time from the arrival to the start or refusal.
+  Duration decided_after;
 };
 
 class HoldTest : public testing::TestWithParam<HoldCase> {};
 
-// Symptom: large answers come from another zone although the target in this one
-// is free in a moment. Sequence: the near target is disturbed, its owner
-// refuses for slowness, the entry turns elsewhere. Cause: to refuse or to start
-// at once was all that an owner could do. And the reverse: what is kept too
-// long is late wherever it goes then.
+// Guards against transferring large answers from another zone although the near
+// target is only briefly disturbed, because its owner can only refuse or start
+// at once. And against holding a request so long that it is late on any other
+// target.
 TEST_P(HoldTest, StartsWithinTheHoldOrIsRefusedAtItsEnd) {
   Admission admission(AdmissionSettings{}, std::make_unique<FixedLimit>());
   const TimePoint arrival(10s);
@@ -466,7 +447,7 @@
     ASSERT_EQ(output.refuse.size(), 1U);
     EXPECT_EQ(output.refuse[0].reason, Reason::kSlowTarget);
   }
-  EXPECT_LE(now - arrival, GetParam().settled_at + 1ms);
+  EXPECT_LE(now - arrival, GetParam().decided_after + 1ms);
 }
 
 INSTANTIATE_TEST_SUITE_P(Disturbances,
@@ -477,18 +458,19 @@
                            return std::string(info.param.name);
                          });
 
-struct ColdCase {
+struct ColdAdmissionCase {
   const char* name;
   bool is_cold;
   double slowdown;
   bool starts;
 };
 
-class ColdAdmissionTest : public AdmissionTest,
-                          public testing::WithParamInterface<ColdCase> {};
+class ColdAdmissionTest
+    : public AdmissionTest,
+      public testing::WithParamInterface<ColdAdmissionCase> {};
 
-// Guards against requests that wait out a cold start as if it were
-// interference: after a loss of power all targets are slow for seconds.
+// Guards against holding requests for a whole cold start as if it were
+// interference: after a power loss all targets are slow for seconds.
 TEST_P(ColdAdmissionTest, HoldsWorksForInterferenceOnly) {
   m_admission.SetSlowdown(m_now, 1.0);
   m_now += 10s;
@@ -501,10 +483,10 @@
 INSTANTIATE_TEST_SUITE_P(
     Targets,
     ColdAdmissionTest,
-    testing::Values(ColdCase{"Warm", false, 1.0, true},
-                    ColdCase{"Disturbed", false, 7.0, false},
-                    ColdCase{"Cold", true, 2.0, true},
-                    ColdCase{"ColdAndDisturbed", true, 14.0, false}),
+    testing::Values(ColdAdmissionCase{"Warm", false, 1.0, true},
+                    ColdAdmissionCase{"Disturbed", false, 7.0, false},
+                    ColdAdmissionCase{"Cold", true, 2.0, true},
+                    ColdAdmissionCase{"ColdAndDisturbed", true, 14.0, false}),
     [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
--- a/source/unit_tests/core/admission/cold_start_limiter_test.cc
+++ b/source/unit_tests/core/admission/cold_start_limiter_test.cc
@@ -20,17 +20,17 @@
 // Requests that a cold target tolerates in any second.
 constexpr std::size_t kTolerated = 24;
 constexpr ColdStartSettings kSettings{1.5, 8};
-// Of these, what one process starts: the rate times the overage.
+// Starts of one process among these: the rate times the overage.
 constexpr std::size_t kCapacity = 16;
 
 class ColdStartLimiterTest : public ::testing::Test {
  protected:
-  // The process has run for a while.
+  // The process started 10 s ago, so no starts of an earlier one count.
   ColdStartLimiterTest() : m_limiter(kSettings, m_now - 10s) {
     m_limiter.SetRate(kRate);
   }
 
-  // Starts as many as it may for so long; returns how many.
+  // Starts as many requests as allowed for `time`; returns their number.
   std::size_t StartAll(Duration time) {
     const TimePoint end = m_now + time;
     std::size_t started = 0;
@@ -58,14 +58,15 @@
   EXPECT_FALSE(m_limiter.NeedsVerification(m_now));
 }
 
-// Guards against crashes of cold targets by too many requests.
+// Guards against cold targets that crash by too many requests.
 TEST_F(ColdStartLimiterTest, KeepsAColdTargetAtItsRate) {
   m_limiter.OnColdReported(m_now, 3s);
   EXPECT_LE(StartAll(1s), kCapacity);
   EXPECT_LE(StartAll(1s), kCapacity);
 }
 
-// Guards against a target that turns cold between two reports.
+// Guards against too many starts on a target that becomes cold between two
+// reports.
 TEST_F(ColdStartLimiterTest, BoundsStartsSinceTheLastVerification) {
   Verify(0ms);
   EXPECT_LE(StartAll(1s), kTolerated);
@@ -80,7 +81,7 @@
   EXPECT_GT(started, 500U);
 }
 
-TEST_F(ColdStartLimiterTest, AsksBeforeItCloses) {
+TEST_F(ColdStartLimiterTest, NeedsVerificationBeforeItCloses) {
   Verify(0ms);
   m_now += 10ms;
   EXPECT_FALSE(m_limiter.NeedsVerification(m_now));
@@ -89,9 +90,9 @@
   EXPECT_TRUE(m_limiter.MayStart(m_now));
 }
 
-// Guards against an owner that was restarted and does not know what its
-// predecessor has started.
-TEST_F(ColdStartLimiterTest, ANewProcessLeavesRoomForItsPredecessor) {
+// Guards against a restarted owner that exceeds the tolerance because it does
+// not know the starts of its previous process.
+TEST_F(ColdStartLimiterTest, ANewProcessReservesCapacityForItsPredecessor) {
   ColdStartLimiter limiter(kSettings, m_now);
   limiter.SetRate(kRate);
   limiter.OnColdReported(m_now, 3s);
@@ -117,7 +118,8 @@
   EXPECT_TRUE(limiter.MayStart(m_now));
 }
 
-// Guards against refusals of requests that the next answer would let start.
+// Guards against refusing requests that the pending answer of the health
+// endpoint would allow to start.
 TEST_F(ColdStartLimiterTest, ExpectsNoWaitForAVerification) {
   Verify(0ms);
   StartAll(100ms);
@@ -136,8 +138,8 @@
   EXPECT_GE(m_limiter.ExpectedWait(m_now, kCapacity), 1900ms);
 }
 
-// Guards against reports of a full target that could start more: entries then
-// ask several owners for each request.
+// Guards against reporting a target as full that could start more: entries then
+// try several owners for each request.
 TEST_F(ColdStartLimiterTest, ReportsTheConcurrencyThatItsRateKeepsBusy) {
   EXPECT_EQ(m_limiter.Concurrency(m_now, 500ms), std::nullopt);
   m_limiter.OnColdReported(m_now, 3s);
@@ -145,9 +147,9 @@
   EXPECT_EQ(m_limiter.Concurrency(m_now, 1ms), 1U);
 }
 
-// Whatever is reported and when, a target that turns cold at any moment gets no
-// more in any second from then on than it tolerates, as long as its health
-// endpoint tells the truth and at the latest 20 ms late.
+// For any sequence of reports, a target that becomes cold at any moment gets no
+// more requests within any second from then on than it tolerates, provided that
+// its health endpoint is correct and answers within 20 ms.
 RC_GTEST_PROP(ColdStartLimiterProperty,
               AColdTargetGetsNoMoreThanItTolerates,
               ()) {
--- a/source/unit_tests/core/admission/disturbed_load_test.cc
+++ b/source/unit_tests/core/admission/disturbed_load_test.cc
@@ -1,6 +1,6 @@
-// Replays of the load that disturbed targets make: virtual time, arrivals and
-// disturbances as data, and the same admission without the target's word as
-// what it is measured against.
+// Simulates the load of disturbed targets in virtual time, with generated
+// arrivals and disturbances, and compares it with an admission that gets no
+// slowdown reports.
 
 #include <algorithm>
 #include <chrono>
@@ -29,27 +29,27 @@
 struct DisturbedLoad {
   const char* name;
   double arrivals_per_second;
-  // A disturbance is drawn anew after each of these times.
+  // Interval at which the target is disturbed with probability `share`.
   Duration period;
   double share;
   double slowdown;
-  // Told as usual: a target that is still cold.
-  double usual;
-  // In time with the word over in time without, at least.
+  // Slowdown without disturbance; above 1 for a target that is still cold.
+  double baseline;
+  // Minimum ratio of answers in time with reports to those without.
   double least_gain;
 };
 
-struct ReplayResult {
+struct SimulationResult {
   int answered = 0;
   int in_time = 0;
   int refused = 0;
 };
 
-// One target of nine slots, 250 ms a request; an answer within 800 ms of the
-// arrival is in time, and 2 s is the deadline.
-class Replay {
+// Simulates one target of nine slots with 250 ms a request. An answer within
+// 800 ms of the arrival is in time; the deadline is 2 s.
+class Simulation {
  public:
-  Replay(const DisturbedLoad& load, bool is_reported)
+  Simulation(const DisturbedLoad& load, bool is_reported)
       : m_load(load),
         m_is_reported(is_reported),
         m_random(11),
@@ -57,14 +57,14 @@
     m_admission.SetTarget(m_now, 9, 220);
   }
 
-  ReplayResult Run(Duration length) {
+  SimulationResult Run(Duration length) {
     TimePoint next_arrival = m_now;
     TimePoint next_draw = m_now;
     const TimePoint end = m_now + length;
     while (m_now < end) {
       if (m_now >= next_draw) {
         const bool is_disturbed = m_random.Fraction() < m_load.share;
-        m_slowdown = m_load.usual * (is_disturbed ? m_load.slowdown : 1.0);
+        m_slowdown = m_load.baseline * (is_disturbed ? m_load.slowdown : 1.0);
         next_draw += m_load.period;
         if (m_is_reported)
           Note(m_admission.SetSlowdown(m_now, m_slowdown));
@@ -74,7 +74,7 @@
         next_arrival += FromSeconds(-std::log1p(-m_random.Fraction()) /
                                     m_load.arrivals_per_second);
       }
-      EndWhatIsDue();
+      EndDueWorks();
       if (m_admission.NextWakeup() && *m_admission.NextWakeup() <= m_now)
         Note(m_admission.OnTimer(m_now));
       m_now += 1ms;
@@ -88,7 +88,7 @@
     request.kind = KindName("search");
     request.time_left = 2s;
     request.is_last_attempt = true;
-    const WorkId work(++m_last_work);
+    const WorkId work(++m_last_work_id);
     m_arrived[work] = m_now;
     Note(m_admission.Arrive(m_now, work, request));
   }
@@ -96,12 +96,12 @@
   void Note(const AdmissionOutput& output) {
     m_result.refused += static_cast<int>(output.refuse.size());
     for (const WorkId work : output.start) {
-      // Settled when it starts.
+      // The service time is determined at the start.
       m_ends.emplace(m_now + FromSeconds(0.25 * m_slowdown), work);
     }
   }
 
-  void EndWhatIsDue() {
+  void EndDueWorks() {
     while (!m_ends.empty() && m_ends.begin()->first <= m_now) {
       const WorkId work = m_ends.begin()->second;
       m_ends.erase(m_ends.begin());
@@ -117,22 +117,20 @@
   Admission m_admission;
   TimePoint m_now;
   double m_slowdown = 1.0;
-  std::uint64_t m_last_work = 0;
+  std::uint64_t m_last_work_id = 0;
   std::map<WorkId, TimePoint> m_arrived;
   std::set<std::pair<TimePoint, WorkId>> m_ends;
-  ReplayResult m_result;
+  SimulationResult m_result;
 };
 
 class DisturbedLoadTest : public testing::TestWithParam<DisturbedLoad> {};
 
-// Symptom: half of a service's answers are late for as long as its load lasts,
-// at a load that its slots could carry. Sequence: neighbours take a target's
-// machine a third of the time; what starts then holds its slot seven times as
-// long; the slots stay taken when the machine is free again. Cause: work was
-// started whenever a slot was free.
-TEST_P(DisturbedLoadTest, HoldingStartsGetsMoreDoneInTime) {
-  const ReplayResult without = Replay(GetParam(), false).Run(60s);
-  const ReplayResult with = Replay(GetParam(), true).Run(60s);
+// Guards against late answers for half of the requests at a load that fits the
+// slots. Interference is present a third of the time, and works that start then
+// hold their slots seven times as long, also after it has ended.
+TEST_P(DisturbedLoadTest, HoldingStartsIncreasesAnswersInTime) {
+  const SimulationResult without = Simulation(GetParam(), false).Run(60s);
+  const SimulationResult with = Simulation(GetParam(), true).Run(60s);
   ASSERT_GT(without.in_time, 0);
   EXPECT_GE(with.in_time, GetParam().least_gain * without.in_time)
       << "in time without " << without.in_time << ", with " << with.in_time
@@ -143,19 +141,19 @@
 INSTANTIATE_TEST_SUITE_P(
     Loads,
     DisturbedLoadTest,
-    testing::Values(
-        DisturbedLoad{"ThirdOfTheTime", 14, 500ms, 0.35, 7, 1, 1.5},
-        DisturbedLoad{"QuarterOfTheTime", 16, 500ms, 0.25, 7, 1, 1.4},
-        DisturbedLoad{"LowLoad", 4, 500ms, 0.35, 7, 1, 1.0},
-        DisturbedLoad{"Undisturbed", 20, 500ms, 0, 1, 1, 1.0},
-        // Slow for good is not disturbed: it must not wait for better days.
-        DisturbedLoad{"SlowForGood", 6, 500ms, 1, 3, 1, 0.95},
-        DisturbedLoad{"StillCold", 12, 500ms, 0, 1, 2, 0.95}),
+    testing::Values(DisturbedLoad{"ThirdOfTheTime", 14, 500ms, 0.35, 7, 1, 1.5},
+                    DisturbedLoad{"QuarterOfTheTime", 16, 500ms, 0.25, 7, 1,
+                                  1.4},
+                    DisturbedLoad{"LowLoad", 4, 500ms, 0.35, 7, 1, 1.0},
+                    DisturbedLoad{"Undisturbed", 20, 500ms, 0, 1, 1, 1.0},
+                    // A permanently slow target is not disturbed: works must
+                    // not wait for it to become faster.
+                    DisturbedLoad{"SlowForGood", 6, 500ms, 1, 3, 1, 0.95},
+                    DisturbedLoad{"StillCold", 12, 500ms, 0, 1, 2, 0.95}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// Answers within the objective of 500 ms, of requests of 250 ms with a deadline
-// of 2 s that come at `arrivals_per_second` for 20 s to nine slots.
-// Their times spread by the factor exp(±spread).
+// Load on nine slots for 20 s: requests of 250 ms with an objective of 500 ms
+// and a deadline of 2 s. Their service times vary by the factor exp(±spread).
 struct ObjectiveLoad {
   double arrivals_per_second = 0;
   bool has_objectives = true;
@@ -164,7 +162,7 @@
   Duration objective = 500ms;
 };
 
-// Near enough to a normal deviate: the sum of twelve even ones.
+// Approximates a normal deviate by the sum of twelve uniform ones.
 double NormalDeviate(SeededRandomSource& random) {
   double sum = -6;
   for (int draw = 0; draw < 12; ++draw)
@@ -214,12 +212,11 @@
   return in_objective;
 }
 
-// Symptom: at a third more load than a service can carry, next to nothing is
-// answered within its objective, though all slots are busy all the time.
-// Sequence: a queue grows until waits are longer than the objective; each
-// request starts in its turn, too late. Cause: what could no longer be in time
-// went before what could.
-TEST(OverloadTest, WhatIsLateWaitsForWhatIsNot) {
+// Guards against overload in which almost no answer is within its objective
+// although all slots are busy: at a third too much load waits grow beyond the
+// objective, and in arrival order every request starts too late. Works that are
+// late must go after those that are not.
+TEST(OverloadTest, LateWorksStartAfterTimelyOnes) {
   const int without = InObjective({48, false});
   const int with = InObjective({48, true});
   EXPECT_GE(with, 3 * without) << without << " before, " << with << " after";
@@ -229,12 +226,11 @@
   EXPECT_GE(InObjective({20, true}), InObjective({20, false}));
 }
 
-// Symptom: at a third more load than a service can carry, half of its answers
-// are late by some milliseconds. Sequence: what can still be in time in the
-// mean goes first, the one with the least time left before all others; so every
-// start has just the mean time left. Cause: times spread, and half of them are
-// above their mean.
-TEST(OverloadTest, StartsThatAreLikelyTooLateWait) {
+// Guards against half of the answers being late by milliseconds at a third too
+// much load: if works that are in time by the mean service time go first in
+// deadline order, every start has just the mean time left, and half of the
+// service times exceed it.
+TEST(OverloadTest, LikelyLateWorksStartAfterLikelyTimelyOnes) {
   AdmissionSettings by_mean;
   by_mean.expects_spread = false;
   const int before = InObjective({48, true, 0.3, by_mean});
@@ -242,61 +238,63 @@
   EXPECT_GE(after, 1.2 * before) << before << " before, " << after << " after";
 }
 
-// Symptom: for seconds after a restart of all next to nothing is in time.
-// Sequence: all targets are cold, so that even a start at once is in time only
-// a little more often than not; a third more comes than they can do. Cause:
-// what was late by the estimate started in the order of its deadline, so that
-// the newest, which were hardly late, came last (247 in time).
-TEST(OverloadTest, TheLeastLateOfWhatIsLateGoesFirst) {
-  // Of some 470 that could be.
+// Guards against almost no answers in time for seconds after all targets
+// restart cold, with a third too much load: even an immediate start is in time
+// only slightly more often than not, and late works in deadline order would
+// start the newest, which are hardly late, last (247 in time).
+TEST(OverloadTest, NewestLateWorkStartsFirst) {
+  // At most about 470 can be in time.
   EXPECT_GE(InObjective({48, true, 0.3, {}, 300ms}), 330);
 }
 
-struct UsualCase {
+struct SlowdownBaselineCase {
   const char* name;
-  // Told every 100 ms.
-  std::vector<double> told;
-  double usual;
+  // Reported every 100 ms.
+  std::vector<double> reported;
+  double baseline;
 };
 
-class UsualSpeedTest : public testing::TestWithParam<UsualCase> {};
+class SlowdownBaselineTest
+    : public testing::TestWithParam<SlowdownBaselineCase> {};
 
-TEST_P(UsualSpeedTest, IsTheLeastOfLate) {
-  UsualSpeed usual(1500ms);
+TEST_P(SlowdownBaselineTest, IsTheMinimumOfRecentReports) {
+  SlowdownBaseline baseline(1500ms);
   TimePoint now;
-  for (const double slowdown : GetParam().told) {
-    usual.OnReported(now, slowdown);
+  for (const double slowdown : GetParam().reported) {
+    baseline.OnReported(now, slowdown);
     now += 100ms;
   }
-  EXPECT_EQ(usual.slowdown(), GetParam().usual);
+  EXPECT_EQ(baseline.slowdown(), GetParam().baseline);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Words,
-    UsualSpeedTest,
-    testing::Values(UsualCase{"Nothing", {}, 1},
-                    UsualCase{"OnlyCold", {2, 14, 2}, 2},
-                    UsualCase{"WarmAgain", {2, 2, 1, 7}, 1},
-                    UsualCase{"SlowForGood", std::vector<double>(40, 5), 5},
-                    UsualCase{"SlowAfterAQuietPast",
-                              [] {
-                                std::vector<double> told(20, 1);
-                                told.insert(told.end(), 40, 5);
-                                return told;
-                              }(),
-                              5}),
+    SlowdownBaselineTest,
+    testing::Values(SlowdownBaselineCase{"Nothing", {}, 1},
+                    SlowdownBaselineCase{"OnlyCold", {2, 14, 2}, 2},
+                    SlowdownBaselineCase{"WarmAgain", {2, 2, 1, 7}, 1},
+                    SlowdownBaselineCase{"SlowForGood",
+                                         std::vector<double>(40, 5), 5},
+                    SlowdownBaselineCase{"SlowAfterAQuietPast",
+                                         [] {
+                                           std::vector<double> reported(20, 1);
+                                           reported.insert(reported.end(), 40,
+                                                           5);
+                                           return reported;
+                                         }(),
+                                         5}),
     [](const auto& info) { return std::string(info.param.name); });
 
 struct EstimateCase {
   const char* name;
   StartConditions conditions;
-  // Whether an entry that can still turn elsewhere takes it.
+  // Whether an entry that can still choose another target accepts it.
   bool is_acceptable;
 };
 
 class StartEstimateTest : public testing::TestWithParam<EstimateCase> {};
 
-TEST_P(StartEstimateTest, TellsGoodStartsFromBadOnes) {
+TEST_P(StartEstimateTest, AcceptsOnlyFastStarts) {
   EXPECT_EQ(EstimateSlowdown(GetParam().conditions) <= kAcceptableSlowdown,
             GetParam().is_acceptable);
 }
@@ -311,14 +309,14 @@
                      {.in_flight = 8, .limit = 9, .slots = 9},
                      false},
         EstimateCase{"Full", {.in_flight = 9, .limit = 9, .slots = 9}, false},
-        // Symptom: at nine of its twelve slots a target is refused for slow,
-        // although it is kept there just so that it is not. Cause: the knee was
-        // looked for in the limit that already keeps below it.
+        // Guards against refusing a target as slow at nine of twelve slots,
+        // where it is limited to stay below its knee: the congestion threshold
+        // applies to the slots, not to the limit.
         EstimateCase{"KeptBelowItsKnee",
                      {.in_flight = 8, .limit = 9, .slots = 12},
                      true},
-        // The first of nine to end comes in a ninth of the usual time: sooner
-        // than the way to another target.
+        // One of nine requests ends within a ninth of the service time on
+        // average: sooner than the round trip to another target.
         EstimateCase{"ShortQueue",
                      {.in_flight = 9, .queued = 2, .limit = 9, .slots = 12},
                      true},
--- a/source/unit_tests/core/admission/knee_limit_test.cc
+++ b/source/unit_tests/core/admission/knee_limit_test.cc
@@ -1,4 +1,4 @@
-// What is learnt of a target that is nearly full.
+// Tests of `core/admission/knee_limit.h`.
 
 #include "core/admission/knee_limit.h"
 
@@ -17,9 +17,9 @@
 
 struct KneeCase {
   const char* name;
-  // Time of a start on the crowded target over the usual.
-  double crowding;
-  // Told with each start.
+  // Ratio of the service time on the congested target to the baseline.
+  double congestion_slowdown;
+  // Reported with each start.
   double slowdown;
   std::uint32_t limit;
 };
@@ -27,7 +27,7 @@
 class KneeLimitTest : public testing::TestWithParam<KneeCase> {
  protected:
   void Answer(std::uint32_t in_flight, double factor) {
-    // A third more or less than the usual, as requests differ.
+    // Varies by a third around the mean, as requests differ.
     const double spread = 0.67 + 0.66 * m_random.Fraction();
     const double seconds = 0.2 * spread * factor * GetParam().slowdown;
     m_limit.OnAnswer(m_now, {KindName("search"), FromSeconds(seconds),
@@ -40,16 +40,14 @@
   KneeLimit m_limit;
 };
 
-// Symptom: at the highest load a service gets less done than just below it.
-// Sequence: all slots of its targets are taken; each request takes 1.7 times as
-// long; queues grow and slots stay taken. Cause: targets with a knee were
-// filled to their slots. And the reverse: without a knee, a fifth of the slots
-// of a full target stayed empty.
-TEST_P(KneeLimitTest, StaysBelowAKneeAndOnlyThen) {
+// Guards against lower throughput at full load than just below it: with a knee,
+// filling all slots makes each request take 1.7 times as long, and queues grow.
+// Without a knee the limit must not give up a fifth of the slots.
+TEST_P(KneeLimitTest, StaysBelowAKneeOnlyIfThereIsOne) {
   m_limit.SetSlots(kSlots);
   for (int round = 0; round < 60; ++round) {
     Answer(3, 1.0);
-    Answer(kSlots, GetParam().crowding);
+    Answer(kSlots, GetParam().congestion_slowdown);
   }
   EXPECT_EQ(m_limit.limit(), GetParam().limit);
 }
@@ -64,10 +62,10 @@
                     KneeCase{"DisturbanceIsNoKnee", 1.0, 7.0, kSlots}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// Symptom: at its highest load a service without a knee gave up a fifth of its
-// slots, and refused a third of its calls. Sequence: all targets are busy, so
-// requests that call another service wait longer for that; these waits come
-// together with crowded starts. Cause: the waits were taken for a knee.
+// Guards against a service without a knee that gives up a fifth of its slots
+// and refuses a third of its calls at full load: requests that call another
+// service wait longer for it when all targets are busy, and these waits
+// coincide with congested starts.
 TEST(KneeLimitWaitsTest, WaitsForOtherServicesAreNoKnee) {
   KneeLimit limit;
   limit.SetSlots(kSlots);
@@ -86,11 +84,10 @@
   EXPECT_EQ(limit.limit(), kSlots);
 }
 
-// Symptom: after a restart of all nothing is in time for seconds. Sequence:
-// what is known of the targets is gone, and as many requests come as before;
-// all slots are taken, and the knee makes each request slower at targets that
-// are cold already. Cause: a target was filled until its knee was known.
-TEST(KneeLimitUnknownTest, KeepsBelowAKneeThatItDoesNotKnow) {
+// Guards against seconds without answers in time after all nodes restart:
+// estimates are lost, the load is unchanged, and if targets are filled until a
+// knee is detected, it slows down targets that are already cold.
+TEST(KneeLimitUnknownTest, StaysBelowTheThresholdWithoutAnEstimate) {
   KneeLimit limit;
   limit.SetSlots(kSlots);
   TimePoint now;
@@ -107,8 +104,9 @@
   EXPECT_LE(trials, 5);
 }
 
-// Left to itself it finds out that there is no knee, and then uses all slots.
-TEST(KneeLimitUnknownTest, LearnsByTrialsThatThereIsNone) {
+// Trial starts alone must show that there is no knee, and then all slots are
+// used.
+TEST(KneeLimitUnknownTest, TrialsDetectThatThereIsNoKnee) {
   KneeLimit limit;
   limit.SetSlots(kSlots);
   TimePoint now;
@@ -125,7 +123,7 @@
   EXPECT_EQ(limit.limit(), 0U);
   limit.SetSlots(1);
   EXPECT_EQ(limit.limit(), 1U);
-  EXPECT_EQ(limit.uncrowded(), 1U);
+  EXPECT_EQ(limit.uncongested_limit(), 1U);
 }
 
 }  // namespace
--- a/source/unit_tests/core/admission/ranked_queue_test.cc
+++ b/source/unit_tests/core/admission/ranked_queue_test.cc
@@ -1,5 +1,5 @@
-// Tests of `core/admission/ranked_queue.h`: against a naive version, and a
-// replay of the load that it is for.
+// Tests of `core/admission/ranked_queue.h`: against a naive implementation, and
+// by a simulation of the load that ranks are made for.
 
 #include "core/admission/ranked_queue.h"
 
@@ -24,8 +24,8 @@
 using std::chrono_literals::operator""ms;
 using std::chrono_literals::operator""s;
 
-// Fair queueing over the ranks with nothing kept sorted: of the ranks that
-// wait, the one whose next tag is least starts its work of the earliest
+// Fair queueing over the ranks without sorted state: of the ranks with waiting
+// works, the one with the lowest next tag starts its work with the earliest
 // deadline.
 class NaiveRanks {
  public:
@@ -79,7 +79,7 @@
   double m_virtual_time = 0;
 };
 
-RC_GTEST_PROP(RankedQueueTest, StartsWhatTheNaiveVersionStarts, ()) {
+RC_GTEST_PROP(RankedQueueTest, MatchesTheNaiveOrder, ()) {
   RankedQueue queue;
   NaiveRanks naive;
   const int steps = *rc::gen::inRange(1, 80);
@@ -108,7 +108,7 @@
   }
 }
 
-TEST(RankedQueueOrderTest, TheLastOfAllIsDroppedFirst) {
+TEST(RankedQueueOrderTest, PopLastRemovesTheLastToStart) {
   RankedQueue queue;
   for (std::uint64_t id = 1; id <= 6; ++id) {
     QueuedWork work;
@@ -123,24 +123,24 @@
   EXPECT_EQ(queue.works().size(), 5U);
 }
 
-// A target of nine slots that is asked for a third more than it can do: short
-// requests of 40 ms, to be answered within 120 ms and dead after 400 ms, of
-// which half has passed on their way, and long ones of 250 ms, to be answered
-// within 600 ms and dead after 1.5 s.
-struct InTime {
+// Counts for a target of nine slots with a third more load than its capacity.
+// Short requests take 40 ms, with an objective of 120 ms and a deadline of 400
+// ms, of which 60 ms have passed before they arrive. Long ones take 250 ms,
+// with an objective of 600 ms and a deadline of 1.5 s.
+struct InTimeCounts {
   int short_ones = 0;
   int long_ones = 0;
   int sent_short = 0;
   int sent_long = 0;
 };
 
-class Replay {
+class Simulation {
  public:
-  explicit Replay(Rank rank_of_long)
+  explicit Simulation(Rank rank_of_long)
       : m_rank_of_long(rank_of_long),
         m_admission(AdmissionSettings{}, std::make_unique<FixedLimit>()) {}
 
-  InTime Run() {
+  InTimeCounts Run() {
     m_admission.SetTarget(m_now, 9, 220);
     TimePoint next_short;
     TimePoint next_long;
@@ -153,7 +153,7 @@
         ++m_result.sent_long;
         Arrive({"long", m_rank_of_long, 250ms, 600ms, 1500ms});
       }
-      EndWhatIsDue();
+      EndDueWorks();
       if (m_admission.NextWakeup() && *m_admission.NextWakeup() <= m_now)
         Note(m_admission.OnTimer(m_now));
     }
@@ -185,7 +185,7 @@
     request.time_left = kind.deadline;
     request.objective_left = kind.objective;
     request.is_last_attempt = true;
-    const WorkId id(++m_last_work);
+    const WorkId id(++m_last_work_id);
     m_sent[id] = {kind, m_now};
     Note(m_admission.Arrive(m_now, id, request));
   }
@@ -195,8 +195,9 @@
       m_ends.emplace(m_now + m_sent.at(work).kind.takes, work);
   }
 
-  // A short one is of use to its caller until its deadline.
-  void EndWhatIsDue() {
+  // A short request is in time until its deadline, a long one until its
+  // objective.
+  void EndDueWorks() {
     while (!m_ends.empty() && m_ends.begin()->first <= m_now) {
       const WorkId work = m_ends.begin()->second;
       m_ends.erase(m_ends.begin());
@@ -214,25 +215,24 @@
   SeededRandomSource m_random{3};
   Admission m_admission;
   TimePoint m_now;
-  InTime m_result;
-  std::uint64_t m_last_work = 0;
+  InTimeCounts m_result;
+  std::uint64_t m_last_work_id = 0;
   std::map<WorkId, Sent> m_sent;
   std::set<std::pair<TimePoint, WorkId>> m_ends;
 };
 
-// Symptom: script views fail with a server error at a load at which downloads
-// of the same service are all served. Sequence: a service that others call is
-// short of slots; lookups that callers wait for queue with long downloads and
-// run out of time; each takes its caller's work with it. Cause: the operator's
-// ranks reached the owner and were not used there.
+// Guards against failing requests at a load at which a service's downloads are
+// all served: lookups from other services queue behind long downloads and run
+// out of time, and their callers' requests fail with them, unless the owner's
+// queue uses the operator's ranks.
 TEST(RankedLoadTest, ShortUrgentRequestsAreServedBeforeLongOnes) {
-  const InTime without = Replay(0).Run();
-  const InTime with = Replay(2).Run();
+  const InTimeCounts without = Simulation(0).Run();
+  const InTimeCounts with = Simulation(2).Run();
   EXPECT_GE(with.short_ones, 0.95 * with.sent_short)
       << with.short_ones << " of " << with.sent_short << "; without ranks "
       << without.short_ones;
   EXPECT_LT(without.short_ones, 0.85 * without.sent_short);
-  // And the long ones are not starved.
+  // The long ones must not starve.
   EXPECT_GE(with.long_ones, with.sent_long / 4)
       << with.long_ones << " of " << with.sent_long << "; without ranks "
       << without.long_ones;
--- a/source/unit_tests/core/admission/service_times_test.cc
+++ b/source/unit_tests/core/admission/service_times_test.cc
@@ -1,10 +1,9 @@
-// Tests of `core/admission/service_times.h`, and of what an owner makes of
-// times that it does not know yet.
+// Tests of `core/admission/service_times.h`, and of an owner that has no
+// service times yet.
 //
-// The load: all nodes and targets of a fleet are started anew, and their
-// callers are there at once. Owners that take requests of 340 ms for such of 10
-// ms let nothing wait, and believe for twenty answers that there is time for
-// more than there is.
+// Load: all nodes and targets of a fleet restart while the callers' load is
+// unchanged. Owners that estimate 10 ms for requests of 340 ms let no request
+// wait, and for about twenty answers overestimate what can be in time.
 
 #include "core/admission/service_times.h"
 
@@ -39,14 +38,14 @@
 
 class ServiceTimesTest : public testing::TestWithParam<LearningCase> {};
 
-TEST_P(ServiceTimesTest, FewAnswersTellTheTime) {
+TEST_P(ServiceTimesTest, ConvergesAfterFewAnswers) {
   ServiceTimes times(GetParam().assumed);
-  EXPECT_FALSE(times.is_known());
+  EXPECT_FALSE(times.has_samples());
   for (const Duration answer : GetParam().answers) {
     times.OnFirstByte(kView, 1, answer);
     times.OnSlotFreed(kView, 1, answer);
   }
-  EXPECT_TRUE(times.is_known());
+  EXPECT_TRUE(times.has_samples());
   EXPECT_GE(times.FirstByte(kView, 1), GetParam().least);
   EXPECT_LE(times.FirstByte(kView, 1), GetParam().most);
   EXPECT_GE(times.SlotTime(kView, 1), GetParam().least);
@@ -60,7 +59,7 @@
         LearningCase{"One", 10ms, {340ms}, 339ms, 341ms},
         LearningCase{"Three", 10ms, {300ms, 340ms, 380ms}, 330ms, 350ms},
         LearningCase{"FasterThanAssumed", 1s, {15ms, 17ms}, 15ms, 17ms},
-        // A single long one does not stand for all.
+        // A single long request must not dominate the mean.
         LearningCase{"OneLong",
                      10ms,
                      {20ms, 20ms, 20ms, 20ms, 20ms, 20ms, 20ms, 20ms, 2h},
@@ -68,9 +67,10 @@
                      40ms}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// One target of nine slots, 340 ms a request; callers that ask nobody else
-// come thirteen at a time each 600 ms, from the first moment on.
-int RefusedAfterAStart() {
+// Simulates one target of nine slots with 340 ms a request. From the start,
+// every 600 ms thirteen callers arrive that can use no other target. Returns
+// the number of refused requests.
+int RefusedAfterRestart() {
   Admission admission({}, std::make_unique<FixedLimit>());
   TimePoint now(1h);
   const TimePoint start = now;
@@ -105,13 +105,12 @@
   return refused;
 }
 
-// Symptom: in the first second after a power loss of all, callers who have two
-// seconds left are refused as if the service was overloaded. Sequence: all
-// slots of a target are taken for 340 ms; the next callers would wait a third
-// of that. Cause: until it has seen answers the owner reckons with 10 ms a
-// request, and lets nobody wait for longer than a few of them.
-TEST(StartedAnewTest, NobodyIsTurnedAwayWhoCanBeServed) {
-  EXPECT_EQ(RefusedAfterAStart(), 0);
+// Guards against refusing callers with two seconds left as overloaded in the
+// first second after a power loss. All slots are busy for 340 ms, and the next
+// callers would wait a third of that; but before its first answers the owner
+// assumes 10 ms a request and allows waits of only a few of these.
+TEST(RestartedOwnerTest, RefusesNoRequestThatCanBeServed) {
+  EXPECT_EQ(RefusedAfterRestart(), 0);
 }
 
 }  // namespace
