--- a/source/core/admission/usual_speed.h
+++ b/source/core/admission/slowdown_baseline.h
@@ -2,8 +2,8 @@
 // disturbed. A target in its cold start, or on a machine that is permanently
 // busy, is slow without being disturbed.
 
-#ifndef BULRUSHMOUNT_CORE_ADMISSION_USUAL_SPEED_H_
-#define BULRUSHMOUNT_CORE_ADMISSION_USUAL_SPEED_H_
+#ifndef BULRUSHMOUNT_CORE_ADMISSION_SLOWDOWN_BASELINE_H_
+#define BULRUSHMOUNT_CORE_ADMISSION_SLOWDOWN_BASELINE_H_
 
 #include <algorithm>
 #include <optional>
@@ -44,4 +44,4 @@
 
 }  // namespace bulrushmount
 
-#endif  // BULRUSHMOUNT_CORE_ADMISSION_USUAL_SPEED_H_
+#endif  // BULRUSHMOUNT_CORE_ADMISSION_SLOWDOWN_BASELINE_H_
--- a/source/unit_tests/core/admission/disturbed_load_test.cc
+++ b/source/unit_tests/core/admission/disturbed_load_test.cc
@@ -16,8 +16,8 @@
 
 #include "core/admission/admission.h"
 #include "core/admission/knee_limit.h"
+#include "core/admission/slowdown_baseline.h"
 #include "core/admission/start_estimate.h"
-#include "core/admission/usual_speed.h"
 #include "core/common/random.h"
 
 namespace bulrushmount {
