--- a/source/core/admission/admission.cc
+++ b/source/core/admission/admission.cc
@@ -250,7 +250,7 @@
   if (takes(m_service_times.FirstByte(work.kind, work.weight)) > left)
     return Timeliness::kLate;
   const bool is_likely =
-      !m_settings.expects_spread ||
+      !m_settings.uses_likely_times ||
       takes(m_service_times.LikelyFirstByte(work.kind, work.weight)) <= left;
   return is_likely ? Timeliness::kLikely : Timeliness::kPossible;
 }
--- a/source/core/admission/admission.h
+++ b/source/core/admission/admission.h
@@ -110,7 +110,7 @@
   Duration response_delay = std::chrono::milliseconds(8);
   // Whether works that would be in time by the mean service time, but probably
   // are not because of its spread, go after those that probably are.
-  bool expects_spread = true;
+  bool uses_likely_times = true;
   // Window of SlowdownBaseline.
   Duration baseline_window = std::chrono::milliseconds(1500);
 };
--- a/source/core/node_logic/owner_policies.cc
+++ b/source/core/node_logic/owner_policies.cc
@@ -47,7 +47,7 @@
 
 AdmissionSettings AdmissionSettingsOf(const NodeSettings& settings) {
   AdmissionSettings admission;
-  admission.expects_spread = settings.policies.likely_times;
+  admission.uses_likely_times = settings.policies.likely_times;
   if (!settings.policies.hold_disturbed)
     admission.hold_from_slowdown = std::numeric_limits<double>::infinity();
   return admission;
--- a/source/unit_tests/core/admission/disturbed_load_test.cc
+++ b/source/unit_tests/core/admission/disturbed_load_test.cc
@@ -232,7 +232,7 @@
 // service times exceed it.
 TEST(OverloadTest, LikelyLateWorksStartAfterLikelyTimelyOnes) {
   AdmissionSettings by_mean;
-  by_mean.expects_spread = false;
+  by_mean.uses_likely_times = false;
   const int before = InObjective({48, true, 0.3, by_mean});
   const int after = InObjective({48, true, 0.3});
   EXPECT_GE(after, 1.2 * before) << before << " before, " << after << " after";
