--- a/source/core/routing/baseline_picker.cc
+++ b/source/core/routing/baseline_picker.cc
@@ -17,23 +17,23 @@
                                    const LoadReport& load,
                                    AnswerQuality quality) {
   dispatch.is_answer_begun = true;
-  Learn(dispatch.node, load);
+  ApplyReport(dispatch.node, load);
 }
 
 void BaselinePicker::OnEnded(TimePoint now,
                              const Dispatch& dispatch,
                              const LoadReport& load) {
-  Learn(dispatch.node, load);
+  ApplyReport(dispatch.node, load);
 }
 
 void BaselinePicker::OnRefused(TimePoint now,
                                const Dispatch& dispatch,
                                Reason reason,
                                const LoadReport& load) {
-  Learn(dispatch.node, load);
+  ApplyReport(dispatch.node, load);
 }
 
-void BaselinePicker::Learn(NodeId node, const LoadReport& load) {
+void BaselinePicker::ApplyReport(NodeId node, const LoadReport& load) {
   if (Target* target = m_targets.Find(node))
     target->reported = load.in_flight + load.queued;
 }
--- a/source/core/routing/baseline_picker.h
+++ b/source/core/routing/baseline_picker.h
@@ -1,5 +1,6 @@
-// What the pickers share that exist to be measured against: they learn nothing
-// but the last report.
+// Common base of the pickers that serve as baselines in comparisons with
+// PowerOfChoicesPicker: their only state is the last load report of each
+// target.
 
 #ifndef BULRUSHMOUNT_CORE_ROUTING_BASELINE_PICKER_H_
 #define BULRUSHMOUNT_CORE_ROUTING_BASELINE_PICKER_H_
@@ -34,14 +35,14 @@
  protected:
   struct Target {
     Candidate candidate;
-    // In flight and queued at the owner, as last told.
+    // Requests in flight and queued at the owner, as last reported.
     std::uint32_t reported = 0;
   };
 
   CandidateList<Target> m_targets;
 
  private:
-  void Learn(NodeId node, const LoadReport& load);
+  void ApplyReport(NodeId node, const LoadReport& load);
 };
 
 }  // namespace bulrushmount
--- a/source/core/routing/candidate_list.h
+++ b/source/core/routing/candidate_list.h
@@ -1,5 +1,5 @@
-// The candidates of one service, grouped by zone distance, with what a picker
-// knows of each. Made for draws without allocation at 1,100 members.
+// Candidates of one service, grouped by zone distance, with a picker's data on
+// each. Draws do not allocate, and are fast at 1,100 members.
 
 #ifndef BULRUSHMOUNT_CORE_ROUTING_CANDIDATE_LIST_H_
 #define BULRUSHMOUNT_CORE_ROUTING_CANDIDATE_LIST_H_
@@ -22,12 +22,12 @@
   return std::find(nodes.begin(), nodes.end(), node) != nodes.end();
 }
 
-// `Target` is a struct with a field `candidate`. Pointers to targets hold until
-// the next `Update` or `Remove`.
+// `Target` is a struct with a field `candidate`. Pointers to targets are valid
+// until the next `Update` or `Remove`.
 template <typename Target>
 class CandidateList {
  public:
-  // Returns the target; a new one is made if its node is not listed.
+  // Returns the target, which is added if its node is not listed.
   Target& Update(const Candidate& candidate) {
     Target target{};
     if (const Target* known = Find(candidate.node)) {
@@ -36,35 +36,35 @@
     }
     target.candidate = candidate;
     auto& group = GroupOf(candidate.distance);
-    m_places[candidate.node] = {candidate.distance, group.size()};
+    m_positions[candidate.node] = {candidate.distance, group.size()};
     return group.emplace_back(std::move(target));
   }
 
   void Remove(NodeId node) {
-    const auto found = m_places.find(node);
-    if (found == m_places.end())
+    const auto found = m_positions.find(node);
+    if (found == m_positions.end())
       return;
-    const Place place = found->second;
-    m_places.erase(found);
-    auto& group = GroupOf(place.distance);
-    if (place.index + 1 != group.size()) {
-      group[place.index] = std::move(group.back());
-      m_places[group[place.index].candidate.node].index = place.index;
+    const Position position = found->second;
+    m_positions.erase(found);
+    auto& group = GroupOf(position.distance);
+    if (position.index + 1 != group.size()) {
+      group[position.index] = std::move(group.back());
+      m_positions[group[position.index].candidate.node].index = position.index;
     }
     group.pop_back();
   }
 
   // Null if the node is not listed.
   Target* Find(NodeId node) {
-    const auto found = m_places.find(node);
-    if (found == m_places.end())
+    const auto found = m_positions.find(node);
+    if (found == m_positions.end())
       return nullptr;
     return &GroupOf(found->second.distance)[found->second.index];
   }
 
-  std::size_t size() const { return m_places.size(); }
+  std::size_t size() const { return m_positions.size(); }
 
-  // The targets in some order, nearest group first.
+  // Returns the target at `index` in an unspecified order, nearest group first.
   Target& At(std::size_t index) {
     for (auto& group : m_groups) {
       if (index < group.size())
@@ -74,8 +74,8 @@
     return m_groups.back().back();
   }
 
-  // Calls `visit(target)` for up to `count` distinct targets at `distance` that
-  // are not excluded, drawn at random.
+  // Calls `visit(target)` for up to `count` distinct random targets at
+  // `distance` that are not excluded.
   template <typename Visit>
   void Draw(ZoneDistance distance,
             std::size_t count,
@@ -84,13 +84,14 @@
             Visit visit) {
     auto& group = GroupOf(distance);
     if (group.size() <= count + excluded.size()) {
-      VisitSome(group, count, excluded, random, visit);
+      VisitFromRandomOffset(group, count, excluded, random, visit);
       return;
     }
     std::array<std::size_t, kMaxDraw> drawn{};
     std::size_t taken = 0;
     count = std::min(count, kMaxDraw);
-    // More candidates than may be turned down, so this ends.
+    // Terminates, since there are more candidates than can be drawn or
+    // excluded.
     while (taken < count) {
       const std::size_t index = random.Index(group.size());
       const auto* end = drawn.begin() + taken;
@@ -106,7 +107,7 @@
   static constexpr std::size_t kMaxDraw = 8;
 
  private:
-  struct Place {
+  struct Position {
     ZoneDistance distance = ZoneDistance::kSameZone;
     std::size_t index = 0;
   };
@@ -117,13 +118,14 @@
     return m_groups[static_cast<std::size_t>(distance)];
   }
 
-  // For a group hardly larger than the draw: goes round it from a random place.
+  // For groups that are hardly larger than the draw: iterates over the group
+  // from a random offset.
   template <typename Visit>
-  static void VisitSome(Group& group,
-                        std::size_t count,
-                        std::span<const NodeId> excluded,
-                        RandomSource& random,
-                        Visit visit) {
+  static void VisitFromRandomOffset(Group& group,
+                                    std::size_t count,
+                                    std::span<const NodeId> excluded,
+                                    RandomSource& random,
+                                    Visit visit) {
     if (group.empty())
       return;
     const std::size_t first = random.Index(group.size());
@@ -137,8 +139,8 @@
   }
 
   std::array<Group, kZoneDistances> m_groups;
-  // One entry for each target in m_groups, and its place there.
-  std::unordered_map<NodeId, Place> m_places;
+  // Position of each target in m_groups.
+  std::unordered_map<NodeId, Position> m_positions;
 };
 
 }  // namespace bulrushmount
--- a/source/core/routing/decaying_retry_budget.cc
+++ b/source/core/routing/decaying_retry_budget.cc
@@ -12,11 +12,11 @@
 
 void DecayingRetryBudget::OnFirstAttempt(TimePoint now,
                                          const ServiceName& service) {
-  Decayed(now, service).first_attempts += 1;
+  DecayedCounts(now, service).first_attempts += 1;
 }
 
 bool DecayingRetryBudget::Reserve(TimePoint now, const ServiceName& service) {
-  Counts& counts = Decayed(now, service);
+  Counts& counts = DecayedCounts(now, service);
   const double budget =
       m_settings.floor + m_settings.fraction * counts.first_attempts;
   if (counts.retries + counts.reserved + 1 > budget)
@@ -26,7 +26,7 @@
 }
 
 void DecayingRetryBudget::Spend(TimePoint now, const ServiceName& service) {
-  Counts& counts = Decayed(now, service);
+  Counts& counts = DecayedCounts(now, service);
   --counts.reserved;
   counts.retries += 1;
 }
@@ -35,13 +35,13 @@
   --m_counts.at(service).reserved;
 }
 
-DecayingRetryBudget::Counts& DecayingRetryBudget::Decayed(
+DecayingRetryBudget::Counts& DecayingRetryBudget::DecayedCounts(
     TimePoint now,
     const ServiceName& service) {
   Counts& counts =
       m_counts.try_emplace(service, Counts{0, 0, 0, now}).first->second;
-  const double decay =
-      std::exp(-ToSeconds(now - counts.as_of) / ToSeconds(m_settings.memory));
+  const double decay = std::exp(-ToSeconds(now - counts.as_of) /
+                                ToSeconds(m_settings.decay_time));
   counts.first_attempts *= decay;
   counts.retries *= decay;
   counts.as_of = now;
--- a/source/core/routing/decaying_retry_budget.h
+++ b/source/core/routing/decaying_retry_budget.h
@@ -1,4 +1,5 @@
-// A node's own retry budget, as a fraction of its recent first attempts.
+// Retry budget of a single node, as a fraction of its recent first attempts,
+// which are counted with exponential decay.
 
 #ifndef BULRUSHMOUNT_CORE_ROUTING_DECAYING_RETRY_BUDGET_H_
 #define BULRUSHMOUNT_CORE_ROUTING_DECAYING_RETRY_BUDGET_H_
@@ -14,12 +15,12 @@
 namespace bulrushmount {
 
 struct DecayingRetryBudgetSettings {
-  // Retries for each first attempt.
+  // Retries per first attempt.
   double fraction = 0.2;
-  // Retries that a service with little traffic may still make in `memory`.
+  // Retries that a service with little traffic may make within `decay_time`.
   double floor = 5.0;
-  // How long an attempt counts as recent (time constant of the decay).
-  Duration memory = std::chrono::seconds(1);
+  // Time constant with which counts of attempts decay.
+  Duration decay_time = std::chrono::seconds(1);
 };
 
 class DecayingRetryBudget : public RetryBudget {
@@ -33,16 +34,16 @@
   void Return(const ServiceName& service) override;
 
  private:
-  // Counts decay by e in `memory`.
+  // Both counts decay by a factor of e in `decay_time`.
   struct Counts {
     double first_attempts = 0;
     double retries = 0;
-    // Reserved, and neither spent nor returned. These do not decay.
+    // Retries reserved but neither spent nor returned. These do not decay.
     std::uint32_t reserved = 0;
     TimePoint as_of;
   };
 
-  Counts& Decayed(TimePoint now, const ServiceName& service);
+  Counts& DecayedCounts(TimePoint now, const ServiceName& service);
 
   DecayingRetryBudgetSettings m_settings;
   std::unordered_map<ServiceName, Counts> m_counts;
--- a/source/core/routing/fleet_retry_budget.h
+++ b/source/core/routing/fleet_retry_budget.h
@@ -1,12 +1,13 @@
-// This node's part of a retry budget that the whole fleet must keep together,
-// in every window of a given length.
+// This node's share of a retry budget that all nodes of the fleet together must
+// keep within every window of a given length.
 //
-// Load pattern: a service sheds or loses answers, and every entry turns to its
-// next target at the same moment. Each node counts exactly what it sends, in
-// windows that slide by a fraction of their length, and the parts add up to
-// less than the whole without a word between nodes: a node's retries follow
-// from its own requests, and the fixed part is divided by the most nodes that
-// were ever seen, so that a cut fleet does not spend it twice.
+// Load pattern: a service sheds requests or loses answers, and every entry
+// retries on its next target at the same moment. Each node counts exactly the
+// attempts that it sends, in a window that slides in steps of a fraction of its
+// length. The shares add up to less than the budget without communication
+// between nodes: a node's retries are proportional to its own first attempts,
+// and the fixed part is divided by the highest number of nodes ever seen, so
+// that the parts of a partitioned fleet do not spend it twice.
 
 #ifndef BULRUSHMOUNT_CORE_ROUTING_FLEET_RETRY_BUDGET_H_
 #define BULRUSHMOUNT_CORE_ROUTING_FLEET_RETRY_BUDGET_H_
@@ -22,8 +23,8 @@
 
 struct FleetRetryBudgetSettings {
   Duration window = std::chrono::seconds(10);
-  // Of the whole fleet, in each window: retries for each first attempt, and
-  // beside these.
+  // Limits for the whole fleet in each window: retries per first attempt, and
+  // further retries independent of these.
   double fraction = 0.2;
   double slack = 50.0;
 };
@@ -40,26 +41,27 @@
   void SetFleetSize(std::size_t nodes) override;
 
  private:
-  // What happened in one step of the window.
+  // Counts of one step of the window.
   struct Bucket {
-    TimePoint begun;
+    TimePoint begun_at;
     std::uint32_t first_attempts = 0;
     std::uint32_t retries = 0;
   };
 
   struct Counts {
-    // Oldest first; covers the window and one step more.
+    // Oldest first; covers the window and one more step.
     std::deque<Bucket> buckets;
     std::uint32_t first_attempts = 0;
     std::uint32_t retries = 0;
     std::uint32_t reserved = 0;
   };
 
-  // With a bucket for `now`, and without those that have left the window.
-  Counts& Slide(TimePoint now, const ServiceName& service);
+  // Returns the counts with a bucket for `now` and without buckets that have
+  // left the window.
+  Counts& SlideWindow(TimePoint now, const ServiceName& service);
 
   FleetRetryBudgetSettings m_settings;
-  std::size_t m_most_nodes = 0;
+  std::size_t m_max_nodes = 0;
   std::unordered_map<ServiceName, Counts> m_counts;
 };
 
--- a/source/core/routing/least_reported_picker.cc
+++ b/source/core/routing/least_reported_picker.cc
@@ -16,7 +16,7 @@
     if (best && target.reported > best->reported)
       continue;
     ties = best && target.reported == best->reported ? ties + 1 : 1;
-    // Among equals each has the same chance.
+    // Reservoir sampling among equally loaded targets.
     if (random.Index(ties) == 0)
       best = &target;
   }
--- a/source/core/routing/least_reported_picker.h
+++ b/source/core/routing/least_reported_picker.h
@@ -1,4 +1,5 @@
-// A baseline: the candidate whose last report was lowest, however old.
+// Baseline picker: picks the candidate with the lowest last reported load,
+// however old the report is.
 
 #ifndef BULRUSHMOUNT_CORE_ROUTING_LEAST_REPORTED_PICKER_H_
 #define BULRUSHMOUNT_CORE_ROUTING_LEAST_REPORTED_PICKER_H_
--- a/source/core/routing/power_of_choices_picker.cc
+++ b/source/core/routing/power_of_choices_picker.cc
@@ -16,69 +16,74 @@
 // Weight of one report in the means over all targets.
 constexpr double kMeanGain = 0.05;
 
-// What is told of a load is worth little after this multiple of the time of a
-// request: most of what ran then has ended.
-constexpr double kLoadMemoryInServiceTimes = 4.0;
-
-// A slow target is tried again after a time of this order.
-constexpr Duration kServiceTimeMemory = 2s;
-
-// How long a target's word that it is slow is held against it. Short: an owner
-// refuses a start that would be slow, which costs a round trip, while a near
-// target that is passed over long after its disturbance costs bytes between
-// availability zones.
-constexpr Duration kSlowdownMemory = 50ms;
-
-// How many answers must be missing before silence counts as slowness. For
-// exponential times a healthy target is taken for slow once in e^3 gaps.
+// Time constant of a load report, in service times: after a few of them most
+// requests that were running then have ended.
+constexpr double kLoadDecayInServiceTimes = 4.0;
+
+// Time constant of a reported service time, after which a slow target is tried
+// again.
+constexpr Duration kServiceTimeDecay = 2s;
+
+// Time constant of a reported slowdown. Short: an owner refuses a start that
+// would be slow, which costs one round trip, while avoiding a near target long
+// after its disturbance costs traffic between availability zones.
+constexpr Duration kSlowdownDecay = 50ms;
+
+// Number of missing answers from which silence counts as slowness. With
+// exponentially distributed times, a healthy target is misjudged once in e^3
+// gaps.
 constexpr double kMissingAnswers = 3.0;
 
-// Silence of up to this multiple of a request's time says nothing: the first of
-// requests that were sent together answers within it, where times spread by a
-// third of their mean.
-constexpr double kUsualSilence = 1.5;
+// Silence up to this multiple of the service time is normal: the first of
+// several requests that were sent together answers within it if times spread by
+// a third of their mean.
+constexpr double kNormalSilence = 1.5;
 
-// Of a failing target: weight of one attempt, how long it is remembered, and
-// how much worse than a healthy one it scores at the worst.
+// For failing targets: weight of one attempt, time constant of the failure
+// rate, and maximum penalty in service times.
 constexpr double kFailureGain = 0.2;
-constexpr Duration kFailureMemory = 2s;
+constexpr Duration kFailureDecay = 2s;
 constexpr double kFailureFactor = 50.0;
 
-// A refusal for draining is believed this long; membership takes over then.
-constexpr Duration kClosedTime = 1s;
-// Worse than every open target, better than none.
+// Time for which a refusal for draining excludes the target; by then membership
+// reports it.
+constexpr Duration kClosedDuration = 1s;
+// A closed target is worse than every open one, but better than none.
 constexpr double kClosedPenaltySeconds = 1e6;
 
-// A cold target starts at this part of its capacity.
+// Fraction of its capacity at which a cold target starts.
 constexpr double kColdFraction = 0.1;
 
-// Until anything is known. Only its ratio to the round trips matters.
-constexpr double kUnknownServiceSeconds = 0.01;
+// Initial mean service time. Only its ratio to the round trips matters.
+constexpr double kInitialServiceSeconds = 0.01;
 
-// What a busy target costs before it is full, since its load may have risen
-// since the report: next to nothing while half its slots are free, so that near
-// targets are used, and one service time when all are taken.
-double CrowdingOf(double utilisation) {
+// Penalty of a busy target before it is full, in service times, since its load
+// may have risen since the report. Almost 0 while half of its slots are free,
+// so that near targets are used, and 1 when all are taken.
+double CongestionOf(double utilisation) {
   const double square = utilisation * utilisation;
   return square * square;
 }
 
-// Reasons that speak against the target rather than of its load.
+// Whether a refusal is caused by a failing target rather than by its load.
 bool IsFailure(Reason reason) {
   return reason == Reason::kShed || reason == Reason::kConnectFailed ||
          reason == Reason::kTargetLost || reason == Reason::kNodeUnreachable;
 }
 
-// What is left of a figure's distance from `rest` after `age`.
-double Relax(double value, double rest, double age, double memory) {
-  return rest + (value - rest) * std::exp(-age / memory);
+// Returns `value` after exponential decay towards `rest` over `age`.
+double DecayTowards(double value,
+                    double rest,
+                    double age,
+                    double time_constant) {
+  return rest + (value - rest) * std::exp(-age / time_constant);
 }
 
 }  // namespace
 
 PowerOfChoicesPicker::PowerOfChoicesPicker(
     const PowerOfChoicesSettings& settings)
-    : m_settings(settings), m_mean_service_seconds(kUnknownServiceSeconds) {
+    : m_settings(settings), m_mean_service_seconds(kInitialServiceSeconds) {
   m_settings.choices =
       std::clamp<std::size_t>(settings.choices, 1, kMaxChoices);
 }
@@ -131,10 +136,10 @@
   Target* target = m_targets.Find(dispatch.node);
   if (!target)
     return;
-  NoLongerWaiting(*target, dispatch);
+  StopWaiting(*target, dispatch);
   dispatch.is_answer_begun = true;
   target->silent_since = now;
-  Learn(now, *target, load);
+  ApplyReport(now, *target, load);
   RecordFailureSample(now, *target,
                       quality == AnswerQuality::kServerError ? 1.0 : 0.0);
 }
@@ -146,7 +151,7 @@
   if (!target)
     return;
   Release(*target, dispatch);
-  Learn(now, *target, load);
+  ApplyReport(now, *target, load);
 }
 
 void PowerOfChoicesPicker::OnRefused(TimePoint now,
@@ -157,11 +162,11 @@
   if (!target)
     return;
   Release(*target, dispatch);
-  Learn(now, *target, load);
+  ApplyReport(now, *target, load);
   if (IsFailure(reason))
     RecordFailureSample(now, *target, 1.0);
   if (reason == Reason::kDraining || reason == Reason::kEvacuated)
-    target->closed_until = now + kClosedTime;
+    target->closed_until = now + kClosedDuration;
 }
 
 void PowerOfChoicesPicker::OnLost(TimePoint now, const Dispatch& dispatch) {
@@ -185,9 +190,9 @@
   Release(*target, dispatch);
   if (dispatch.is_answer_begun)
     return;
-  // A frozen target never answers. When the last attempt has been cancelled
-  // nothing is in flight, and without this the target would look idle and fast
-  // again: it took at least this long.
+  // A frozen target never answers. When its last attempt has been cancelled,
+  // nothing is in flight, and it would look idle and fast again. So the elapsed
+  // time is recorded as a lower bound of its service time.
   const double elapsed = ToSeconds(now - dispatch.sent_at) / dispatch.weight;
   if (elapsed <= target->service_seconds)
     return;
@@ -195,8 +200,8 @@
   target->reported_at = now;
 }
 
-void PowerOfChoicesPicker::NoLongerWaiting(Target& target,
-                                           const Dispatch& dispatch) {
+void PowerOfChoicesPicker::StopWaiting(Target& target,
+                                       const Dispatch& dispatch) {
   if (dispatch.is_answer_begun || target.own_waiting == 0)
     return;
   --target.own_waiting;
@@ -204,20 +209,20 @@
 }
 
 void PowerOfChoicesPicker::Release(Target& target, const Dispatch& dispatch) {
-  NoLongerWaiting(target, dispatch);
-  // A target that was removed and came back starts from 0.
+  StopWaiting(target, dispatch);
+  // A target that was removed and added again starts from 0.
   if (target.own_in_flight > 0)
     --target.own_in_flight;
 }
 
-void PowerOfChoicesPicker::Learn(TimePoint now,
-                                 Target& target,
-                                 const LoadReport& load) {
+void PowerOfChoicesPicker::ApplyReport(TimePoint now,
+                                       Target& target,
+                                       const LoadReport& load) {
   const double reported = load.in_flight + load.queued;
   target.others_in_flight = std::max(0.0, reported - target.own_in_flight);
   target.reported_at = now;
   if (load.limit == 0) {
-    target.closed_until = now + kClosedTime;
+    target.closed_until = now + kClosedDuration;
     return;
   }
   target.closed_until = now;
@@ -250,8 +255,8 @@
                                        const Target& target) const {
   if (target.failure == 0)
     return 0;
-  return Relax(target.failure, 0, ToSeconds(now - target.failed_at),
-               ToSeconds(kFailureMemory));
+  return DecayTowards(target.failure, 0, ToSeconds(now - target.failed_at),
+                      ToSeconds(kFailureDecay));
 }
 
 double PowerOfChoicesPicker::LoadOf(TimePoint now, const Target& target) const {
@@ -259,38 +264,39 @@
   if (!target.limit)
     return target.own_in_flight + mean;
   const double age = ToSeconds(now - target.reported_at);
-  const double memory = kLoadMemoryInServiceTimes * m_mean_service_seconds;
+  const double time_constant =
+      kLoadDecayInServiceTimes * m_mean_service_seconds;
   return target.own_in_flight +
-         Relax(target.others_in_flight, mean, age, memory);
+         DecayTowards(target.others_in_flight, mean, age, time_constant);
 }
 
 double PowerOfChoicesPicker::ServiceTimeOf(TimePoint now,
                                            const Target& target) const {
   double seconds = m_mean_service_seconds;
   if (target.service_seconds > 0) {
-    seconds = Relax(target.service_seconds, seconds,
-                    ToSeconds(now - target.reported_at),
-                    ToSeconds(kServiceTimeMemory));
+    seconds = DecayTowards(target.service_seconds, seconds,
+                           ToSeconds(now - target.reported_at),
+                           ToSeconds(kServiceTimeDecay));
   }
   if (target.own_waiting == 0)
     return seconds;
-  // n requests of mean weight w answer every s * w / n: a longer gap says that
-  // s has grown, before any report can. But requests that were sent together,
-  // as callers do that send ahead, are all silent for the time of one.
+  // n requests of mean weight w answer at intervals of s * w / n, so a longer
+  // gap shows that s has grown before any report does. But requests that were
+  // sent together, as by pipelining callers, are all silent for one service
+  // time.
   const double waiting = target.own_waiting;
   const double mean_weight = target.own_waiting_weight / waiting;
   const double silence = ToSeconds(now - target.silent_since);
-  if (silence <= kUsualSilence * seconds * mean_weight)
+  if (silence <= kNormalSilence * seconds * mean_weight)
     return seconds;
   return std::max(seconds, silence * waiting / mean_weight / kMissingAnswers);
 }
 
-// A disturbance lasts some hundred milliseconds; what was told before that says
-// nothing any more.
+// A disturbance lasts some hundred milliseconds, so older reports are decayed.
 double PowerOfChoicesPicker::SlowdownOf(TimePoint now,
                                         const Target& target) const {
-  return Relax(target.slowdown, 1.0, ToSeconds(now - target.reported_at),
-               ToSeconds(kSlowdownMemory));
+  return DecayTowards(target.slowdown, 1.0, ToSeconds(now - target.reported_at),
+                      ToSeconds(kSlowdownDecay));
 }
 
 double PowerOfChoicesPicker::CapacityOf(TimePoint now,
@@ -303,8 +309,8 @@
   return std::max(1.0, limit) * std::clamp(warm, kColdFraction, 1.0);
 }
 
-double PowerOfChoicesPicker::WayOf(const Target& target,
-                                   const PickRequest& request) const {
+double PowerOfChoicesPicker::TransferTimeOf(const Target& target,
+                                            const PickRequest& request) const {
   const ZoneDistance distance = target.candidate.distance;
   const double round_trip =
       ToSeconds(m_settings.round_trip[static_cast<std::size_t>(distance)]);
@@ -320,11 +326,11 @@
   const double service = ServiceTimeOf(now, target) * SlowdownOf(now, target);
   const double utilisation = (LoadOf(now, target) + 1) / capacity;
   const double wait = service * std::max(0.0, utilisation - 1);
-  const double crowding = service * CrowdingOf(utilisation);
-  const double score =
-      WayOf(target, request) + service * request.weight + wait + crowding;
-  // Added, and in terms of the usual time: a target that fails in no time has a
-  // score near 0, which no factor makes bad.
+  const double congestion = service * CongestionOf(utilisation);
+  const double score = TransferTimeOf(target, request) +
+                       service * request.weight + wait + congestion;
+  // Added, and in units of the mean service time: a target that fails instantly
+  // has a score near 0, which a factor would not raise.
   const double failing =
       kFailureFactor * FailureOf(now, target) * m_mean_service_seconds;
   const double closed = now < target.closed_until ? kClosedPenaltySeconds : 0;
--- a/source/core/routing/power_of_choices_picker.h
+++ b/source/core/routing/power_of_choices_picker.h
@@ -1,5 +1,6 @@
-// The picker in use: draws a few candidates near and far, estimates for each
-// how soon it would answer, and takes the soonest.
+// The picker used in production: draws a few candidates from each zone
+// distance, estimates for each the time until it would answer, and picks the
+// lowest.
 
 #ifndef BULRUSHMOUNT_CORE_ROUTING_POWER_OF_CHOICES_PICKER_H_
 #define BULRUSHMOUNT_CORE_ROUTING_POWER_OF_CHOICES_PICKER_H_
@@ -15,13 +16,13 @@
 namespace bulrushmount {
 
 struct PowerOfChoicesSettings {
-  // Candidates drawn from each zone distance; at most kMaxChoices.
+  // Candidates drawn per zone distance; at most kMaxChoices.
   std::size_t choices = 2;
-  // What a request and its answer spend on the way, by ZoneDistance.
+  // Network round-trip time by ZoneDistance.
   std::array<Duration, kZoneDistances> round_trip = {
       std::chrono::microseconds(100), std::chrono::milliseconds(1),
       std::chrono::milliseconds(30)};
-  // A target's cold start, over which its share of picks rises.
+  // Duration of a target's cold start, over which its capacity rises.
   Duration warmup = std::chrono::seconds(10);
 };
 
@@ -53,47 +54,47 @@
   void OnCancelled(TimePoint now, const Dispatch& dispatch) override;
 
  private:
-  // What this node knows of one target.
+  // This node's data on one target.
   struct Target {
     Candidate candidate;
-    // Attempts sent from here that have not ended. Exact.
+    // Attempts of this node that have not ended. Exact.
     std::uint32_t own_in_flight = 0;
-    // Of these, the ones without an answer yet, and the sum of their weights.
+    // Attempts of these without an answer yet, and the sum of their weights.
     std::uint32_t own_waiting = 0;
     double own_waiting_weight = 0;
-    // When an answer last came while own_waiting was above 0, or it last rose
-    // from 0.
+    // Time of the last answer while own_waiting was above 0, or when
+    // own_waiting last rose from 0.
     TimePoint silent_since;
-    // The owner's last report, less what of it came from here.
+    // Requests in the owner's last report that are not from this node.
     double others_in_flight = 0;
-    // For a request of weight 1, as the owner last told or as an attempt
-    // without an answer showed.
+    // Service time of a request of weight 1, as the owner last reported or as a
+    // cancelled attempt without an answer implied.
     double service_seconds = 0;
-    // What the owner said that a start there would take, over the usual; see
-    // LoadReport.
+    // Slowdown of a start there, as the owner last reported; see LoadReport.
     double slowdown = 1.0;
     TimePoint reported_at;
-    // As the owner last told; empty until then.
+    // As the owner last reported; empty before that.
     std::optional<std::uint32_t> limit;
-    // Recent share of attempts that failed, in [0, 1], as of `failed_at`.
+    // Recent fraction of failed attempts, in [0, 1], as of `failed_at`.
     double failure = 0;
     TimePoint failed_at;
-    // The owner said that it takes no work; believed until then.
+    // Time until which the owner's report that it accepts no work is assumed to
+    // hold.
     TimePoint closed_until;
   };
 
   using Targets = CandidateList<Target>;
 
   void Release(Target& target, const Dispatch& dispatch);
-  void NoLongerWaiting(Target& target, const Dispatch& dispatch);
-  void Learn(TimePoint now, Target& target, const LoadReport& load);
+  void StopWaiting(Target& target, const Dispatch& dispatch);
+  void ApplyReport(TimePoint now, Target& target, const LoadReport& load);
   void RecordFailureSample(TimePoint now, Target& target, double sample);
   double LoadOf(TimePoint now, const Target& target) const;
   double ServiceTimeOf(TimePoint now, const Target& target) const;
   double FailureOf(TimePoint now, const Target& target) const;
   double SlowdownOf(TimePoint now, const Target& target) const;
   double CapacityOf(TimePoint now, const Target& target) const;
-  double WayOf(const Target& target, const PickRequest& request) const;
+  double TransferTimeOf(const Target& target, const PickRequest& request) const;
   double ScoreOf(TimePoint now,
                  const Target& target,
                  const PickRequest& request) const;
@@ -101,11 +102,13 @@
 
   PowerOfChoicesSettings m_settings;
   Targets m_targets;
-  // Of all targets: in flight from elsewhere per slot, and time for a request
-  // of weight 1. What a target without a fresh report is taken for.
+  // Means over all targets: requests in flight from other nodes per slot, and
+  // service time of a request of weight 1. Defaults for targets without a
+  // recent report.
   double m_mean_others_per_slot = 0;
   double m_mean_service_seconds = 0;
-  // Reports that the means are made of; stops counting when it matters no more.
+  // Number of reports in the means; stops counting when it no longer affects
+  // their gain.
   std::uint32_t m_reports = 0;
 };
 
--- a/source/core/routing/random_picker.cc
+++ b/source/core/routing/random_picker.cc
@@ -9,7 +9,8 @@
                                          RandomSource& random) {
   std::optional<NodeId> picked;
   std::size_t eligible = 0;
-  // Reservoir sampling: each eligible one replaces the last with chance 1/n.
+  // Reservoir sampling: the n-th eligible candidate replaces the current one
+  // with probability 1/n.
   for (std::size_t index = 0; index < m_targets.size(); ++index) {
     const NodeId node = m_targets.At(index).candidate.node;
     if (Contains(request.excluded, node))
--- a/source/core/routing/random_picker.h
+++ b/source/core/routing/random_picker.h
@@ -1,4 +1,4 @@
-// A baseline: any candidate, with equal chances.
+// Baseline picker: picks uniformly at random.
 
 #ifndef BULRUSHMOUNT_CORE_ROUTING_RANDOM_PICKER_H_
 #define BULRUSHMOUNT_CORE_ROUTING_RANDOM_PICKER_H_
--- a/source/core/routing/retry_budget.h
+++ b/source/core/routing/retry_budget.h
@@ -1,5 +1,5 @@
-// Bounds retries to a fraction of recent first attempts, so that an overload
-// is not multiplied by the attempts to get around it.
+// Interface that limits retries to a fraction of recent first attempts, so that
+// retries do not multiply an overload.
 
 #ifndef BULRUSHMOUNT_CORE_ROUTING_RETRY_BUDGET_H_
 #define BULRUSHMOUNT_CORE_ROUTING_RETRY_BUDGET_H_
@@ -17,19 +17,19 @@
 
   virtual void OnFirstAttempt(TimePoint now, const ServiceName& service) = 0;
 
-  // Sets one retry aside, if the budget has one left: whether this attempt may
-  // be sent again if it is refused. Asked before the attempt is sent, since an
-  // owner holds on longer to an attempt that will not be sent again.
+  // Reserves one retry if the budget has one left; returns whether this attempt
+  // may be retried if it is refused. Called before the attempt is sent, since
+  // an owner lets an attempt wait longer if it will not be retried.
   [[nodiscard]] virtual bool Reserve(TimePoint now,
                                      const ServiceName& service) = 0;
 
-  // The reserved retry is made.
+  // Spends the reserved retry.
   virtual void Spend(TimePoint now, const ServiceName& service) = 0;
 
-  // The reserved retry is not needed.
+  // Releases the reserved retry.
   virtual void Return(const ServiceName& service) = 0;
 
-  // Nodes that share the budget, this one included.
+  // Sets the number of nodes that share the budget, including this one.
   virtual void SetFleetSize(std::size_t nodes) {}
 };
 
--- a/source/core/routing/round_robin_picker.h
+++ b/source/core/routing/round_robin_picker.h
@@ -1,4 +1,4 @@
-// A baseline: the candidates in turn.
+// Baseline picker: picks the candidates in turn.
 
 #ifndef BULRUSHMOUNT_CORE_ROUTING_ROUND_ROBIN_PICKER_H_
 #define BULRUSHMOUNT_CORE_ROUTING_ROUND_ROBIN_PICKER_H_
--- a/source/core/routing/router.h
+++ b/source/core/routing/router.h
@@ -1,5 +1,5 @@
-// Joins the pickers of all services: knows which service each node's target
-// belongs to, and hands every event to that service's picker.
+// Owns the pickers of all services: maps each node's target to its service, and
+// forwards every event to that service's picker.
 
 #ifndef BULRUSHMOUNT_CORE_ROUTING_ROUTER_H_
 #define BULRUSHMOUNT_CORE_ROUTING_ROUTER_H_
@@ -19,16 +19,18 @@
  public:
   using PickerFactory = std::function<std::unique_ptr<TargetPicker>()>;
 
-  // `make_picker` makes the picker of a service when its first target comes.
+  // `make_picker` creates the picker of a service when its first target is
+  // added.
   explicit Router(PickerFactory make_picker);
 
-  // A node has one target: naming another service moves it there.
+  // Adds or updates the target of a node. A node has one target, so an update
+  // with another service moves it there.
   void Update(const ServiceName& service, const Candidate& candidate);
-  // The node's target takes no more work, or the node is gone.
+  // The node's target accepts no more work, or the node has left.
   void Remove(NodeId node);
 
-  // How many targets the service has: a call that has tried them all has
-  // nowhere else to go.
+  // Number of targets of the service: a call that has tried all of them has no
+  // other target left.
   std::size_t TargetsOf(const ServiceName& service) const;
 
   // Empty if the service has no target that is not excluded.
@@ -61,8 +63,8 @@
   TargetPicker* PickerOf(NodeId node);
 
   PickerFactory m_make_picker;
-  // Holds a service exactly while it has targets. Nodes are stable in memory,
-  // so `m_service_of` may point at the names.
+  // Holds a service exactly while it has targets. References to its keys are
+  // stable, so `m_service_of` may point at the names.
   std::unordered_map<ServiceName, Service> m_services;
   std::unordered_map<NodeId, const ServiceName*> m_service_of;
 };
--- a/source/core/routing/target_picker.h
+++ b/source/core/routing/target_picker.h
@@ -1,8 +1,8 @@
-// Picks the target for one attempt of a call: the interface, and the values
-// that cross it. A picker serves one service; `router.h` joins the services.
+// Interface that picks the target for one attempt of a call, and its data
+// types. A picker serves one service; `router.h` combines the services.
 //
-// Every report of a target's load is stale when it arrives here, so a pick is
-// a guess, and the admission at the target's owner is the decision.
+// Load reports are outdated when they arrive here, so a pick is an estimate.
+// The admission at the target's owner makes the decision.
 
 #ifndef BULRUSHMOUNT_CORE_ROUTING_TARGET_PICKER_H_
 #define BULRUSHMOUNT_CORE_ROUTING_TARGET_PICKER_H_
@@ -19,7 +19,7 @@
 
 namespace bulrushmount {
 
-// How far a target's owner is from this node.
+// Distance of a target's owner from this node.
 enum class ZoneDistance : std::uint8_t {
   kSameZone,
   kSameRegion,
@@ -28,28 +28,29 @@
 
 inline constexpr std::size_t kZoneDistances = 3;
 
-// A target that takes work, as membership tells it.
+// A target that accepts work, according to membership.
 struct Candidate {
   NodeId node;
   ZoneDistance distance = ZoneDistance::kSameZone;
   std::uint32_t slots = 1;
-  // When this node first saw the target warming; empty once it is warm.
+  // When this node first saw the target in its cold start; empty once it is
+  // warm.
   std::optional<TimePoint> warming_since = std::nullopt;
 };
 
 struct PickRequest {
   double weight = 1.0;
-  // Until the first byte of the answer must be here.
+  // Time until the first byte of the answer must arrive.
   Duration time_left{};
-  // Owners that this call has tried before. Must outlive the call of `Pick`.
+  // Owners that this call has already tried. Must outlive the call of `Pick`.
   std::span<const NodeId> excluded{};
-  // What the bytes of the answer cost between availability zones, as the wait
-  // that would be as bad.
+  // Cost of transferring the answer between availability zones, as an
+  // equivalent delay.
   Duration zone_transfer{};
 };
 
-// One attempt on its way. The caller of the picker keeps it and hands it back
-// with each event of the attempt.
+// One attempt in flight. The picker's caller keeps it and passes it with each
+// event of the attempt.
 struct Dispatch {
   NodeId node;
   double weight = 1.0;
@@ -58,11 +59,11 @@
   bool is_answer_begun = false;
 };
 
-// Whether an answer speaks for the target.
+// Whether an answer shows that the target is healthy.
 enum class AnswerQuality : std::uint8_t {
   kGood,
-  // A 5xx of the target's own. Many of them, fast, are a target that fails
-  // while its low load attracts more.
+  // A 5xx status from the target itself. Without it, a target that fails fast
+  // would attract more requests by its low load.
   kServerError,
 };
 
@@ -73,8 +74,8 @@
  public:
   virtual ~TargetPicker() = default;
 
-  // Adds the candidate, or replaces what was known of its node's place, slots
-  // and cold start. What was learnt of its load stays.
+  // Adds the candidate, or updates its distance, slots and cold start. Recorded
+  // load and latency are kept.
   virtual void Update(const Candidate& candidate) = 0;
   virtual void Remove(NodeId node) = 0;
 
@@ -85,30 +86,32 @@
 
   virtual void OnSent(const Dispatch& dispatch) = 0;
 
-  // The head of the target's answer is here.
+  // The head of the target's answer has arrived.
   virtual void OnAnswerBegun(TimePoint now,
                              Dispatch& dispatch,
                              const LoadReport& load,
                              AnswerQuality quality) = 0;
 
-  // The whole answer is here, or it broke off after it had begun.
+  // The answer is complete, or it was cut off after it had begun.
   virtual void OnEnded(TimePoint now,
                        const Dispatch& dispatch,
                        const LoadReport& load) = 0;
 
-  // Certainly not run. `reason` tells a full target from a failing one.
+  // The attempt was not run. `reason` distinguishes a full target from a
+  // failing one.
   virtual void OnRefused(TimePoint now,
                          const Dispatch& dispatch,
                          Reason reason,
                          const LoadReport& load) = 0;
 
-  // No answer will come: the owner or its target is gone.
+  // No answer will arrive: the owner or its target is gone.
   virtual void OnLost(TimePoint now, const Dispatch& dispatch) = 0;
 
-  // Nothing is heard from the owner's node; the attempt goes on.
+  // The owner's node does not respond; the attempt continues.
   virtual void OnSilent(TimePoint now, const Dispatch& dispatch) = 0;
 
-  // The entry gave up: caller gone, or deadline passed.
+  // The entry cancelled the attempt: the caller disconnected, or the deadline
+  // passed.
   virtual void OnCancelled(TimePoint now, const Dispatch& dispatch) = 0;
 };
 
--- a/source/unit_tests/core/routing/candidate_list_test.cc
+++ b/source/unit_tests/core/routing/candidate_list_test.cc
@@ -14,7 +14,7 @@
 
 struct Target {
   Candidate candidate;
-  int learnt = 0;
+  int value = 0;
 };
 
 using NaiveList = std::unordered_map<NodeId, Target>;
@@ -59,12 +59,12 @@
   for (const auto& [node, target] : naive) {
     const Target* found = list.Find(node);
     RC_ASSERT(found != nullptr);
-    RC_ASSERT(found->learnt == target.learnt);
+    RC_ASSERT(found->value == target.value);
     RC_ASSERT(found->candidate.distance == target.candidate.distance);
   }
 }
 
-RC_GTEST_PROP(CandidateListTest, HoldsWhatTheMapHolds, ()) {
+RC_GTEST_PROP(CandidateListTest, MatchesAMap, ()) {
   CandidateList<Target> list;
   NaiveList naive;
   SeededRandomSource random(*rc::gen::arbitrary<std::uint64_t>());
@@ -80,8 +80,8 @@
       list.Remove(node);
       naive.erase(node);
     } else if (Target* target = list.Find(node)) {
-      target->learnt = step;
-      naive.at(node).learnt = step;
+      target->value = step;
+      naive.at(node).value = step;
     }
     CheckSame(list, naive);
     CheckDraw(list, naive, random);
--- a/source/unit_tests/core/routing/decaying_retry_budget_test.cc
+++ b/source/unit_tests/core/routing/decaying_retry_budget_test.cc
@@ -1,5 +1,5 @@
-// Tests of `core/routing/decaying_retry_budget.h` against a version that keeps
-// every attempt.
+// Tests of `core/routing/decaying_retry_budget.h` against a naive
+// implementation that keeps every attempt.
 
 #include "core/routing/decaying_retry_budget.h"
 
@@ -25,7 +25,7 @@
   return sum;
 }
 
-RC_GTEST_PROP(RetryBudgetTest, GrantsWhatTheNaiveVersionGrants, ()) {
+RC_GTEST_PROP(RetryBudgetTest, MatchesTheNaiveVersion, ()) {
   const DecayingRetryBudgetSettings settings{.fraction = 0.2, .floor = 2.05};
   DecayingRetryBudget budget(settings);
   std::vector<TimePoint> first_attempts;
@@ -44,7 +44,7 @@
           settings.floor +
           settings.fraction * SumOfDecayed(first_attempts, now);
       const double after = SumOfDecayed(retries, now) + reserved + 1;
-      // Rounding may decide when the two are equal but for rounding.
+      // Discards cases in which rounding errors could decide.
       RC_PRE(std::abs(after - allowed) > 1e-9);
       RC_ASSERT(budget.Reserve(now, kDesk) == (after <= allowed));
       reserved += after <= allowed;
@@ -59,10 +59,8 @@
   }
 }
 
-// Symptom: an overload becomes worse by the attempts to get around it.
-// Sequence: every one of 1,000 attempts a second is refused, and each refusal
-// asks for a retry.
-// Cause: retries without a bound.
+// Guards against unbounded retries that multiply an overload: each of 1,000
+// attempts a second is refused, and each refusal requests a retry.
 TEST(RetryBudgetTest, RetriesStayAFractionOfFirstAttempts) {
   DecayingRetryBudget budget(DecayingRetryBudgetSettings{.fraction = 0.2});
   int granted = 0;
@@ -79,7 +77,7 @@
   EXPECT_LT(granted, 2'100);
 }
 
-TEST(RetryBudgetTest, ServicesDoNotShare) {
+TEST(RetryBudgetTest, ServicesHaveSeparateBudgets) {
   DecayingRetryBudget budget(DecayingRetryBudgetSettings{.floor = 1});
   EXPECT_TRUE(budget.Reserve(TimePoint{1s}, kDesk));
   EXPECT_FALSE(budget.Reserve(TimePoint{1s}, kDesk));
--- a/source/unit_tests/core/routing/fleet_retry_budget_test.cc
+++ b/source/unit_tests/core/routing/fleet_retry_budget_test.cc
@@ -1,5 +1,5 @@
-// The part of a fleet's retry budget: in every window all nodes together stay
-// within it.
+// Tests of `core/routing/fleet_retry_budget.h`: in every window all nodes
+// together stay within the budget.
 
 #include "core/routing/fleet_retry_budget.h"
 
@@ -24,7 +24,7 @@
   return {.window = seconds(10), .fraction = 0.2, .slack = 56};
 }
 
-// Whether the retry was made.
+// Returns whether the retry was made.
 bool Retry(FleetRetryBudget& budget, TimePoint now) {
   if (!budget.Reserve(now, kService))
     return false;
@@ -32,13 +32,11 @@
   return true;
 }
 
-// Symptom: a service gets more arrivals beyond the first of each request than
-// its operators allow. Sequence: it sheds half of its requests for eight
-// seconds, under a load that had just fallen from a burst; each of eleven nodes
-// retries as long as its budget lets it. Cause: each node took the whole fixed
-// part for itself, and counts that decay remember the burst for longer than the
-// window.
-TEST(FleetRetryBudgetTest, ElevenNodesStayWithinOneBudget) {
+// Guards against more retries than the operator allows, when a service sheds
+// half of its requests for eight seconds after a burst and eleven nodes retry.
+// Causes: each node takes the whole fixed part for itself, or decaying counts
+// include the burst for longer than the window.
+TEST(FleetRetryBudgetTest, ElevenNodesStayWithinOneFleetBudget) {
   const FleetRetryBudgetSettings settings = ExampleSettings();
   std::vector<FleetRetryBudget> nodes(kNodes, FleetRetryBudget(settings));
   for (FleetRetryBudget& node : nodes)
@@ -70,7 +68,7 @@
   for (int end = 10'000; end < 30'000; end += 500) {
     const TimePoint to = TimePoint() + milliseconds(end);
     const double retries = count(to, true);
-    // The retries of a window belong to first attempts that may lie before it.
+    // Retries within a window may belong to first attempts before it.
     const double first =
         std::max({count(to, false), count(to - settings.window / 2, false),
                   count(to - settings.window, false)});
@@ -79,9 +77,9 @@
   }
 }
 
-// Symptom: after a cut each half of a fleet spends the fixed part as if it were
-// the whole. Cause: the part of a node grew as members were lost.
-TEST(FleetRetryBudgetTest, ALossOfMembersDoesNotRaiseTheShareOfOne) {
+// Guards against each half of a partitioned fleet spending the whole fixed
+// part: a node's share must not grow when members are lost.
+TEST(FleetRetryBudgetTest, LossOfMembersDoesNotRaiseTheShareOfANode) {
   FleetRetryBudget budget(ExampleSettings());
   budget.SetFleetSize(70);
   budget.SetFleetSize(1);
@@ -91,7 +89,7 @@
   EXPECT_LE(retries, 1);
 }
 
-TEST(FleetRetryBudgetTest, WhatLeavesTheWindowIsForgotten) {
+TEST(FleetRetryBudgetTest, RetriesOutsideTheWindowDoNotCount) {
   FleetRetryBudget budget(ExampleSettings());
   while (Retry(budget, TimePoint())) {
   }
@@ -99,7 +97,7 @@
   EXPECT_TRUE(Retry(budget, TimePoint() + seconds(11)));
 }
 
-RC_GTEST_PROP(FleetRetryBudgetProperty, AgreesWithACountOfAllEvents, ()) {
+RC_GTEST_PROP(FleetRetryBudgetProperty, StaysWithinTheBudgetOfTheWindow, ()) {
   const FleetRetryBudgetSettings settings = ExampleSettings();
   FleetRetryBudget budget(settings);
   std::vector<TimePoint> first;
@@ -120,8 +118,8 @@
         in_window += at > now - settings.window ? 1 : 0;
       return in_window;
     };
-    // The window is longer than asked by a step, so first attempts may be
-    // counted a little longer: by no more than ten at these rates.
+    // The window is one step longer than configured, so up to ten more first
+    // attempts are counted at these rates.
     RC_ASSERT(count(retries) <=
               settings.fraction * (count(first) + 10) + settings.slack);
   }
--- a/source/unit_tests/core/routing/power_of_choices_picker_test.cc
+++ b/source/unit_tests/core/routing/power_of_choices_picker_test.cc
@@ -1,5 +1,5 @@
-// Tests of `core/routing/power_of_choices_picker.h`: what must not attract
-// load, one failure each.
+// Tests of `core/routing/power_of_choices_picker.h`: each test covers one
+// condition under which a target must not attract load, or must not be avoided.
 
 #include "core/routing/power_of_choices_picker.h"
 
@@ -16,20 +16,20 @@
 
 constexpr int kTargets = 7;
 constexpr int kPicks = 700;
-constexpr NodeId kOdd{1};
-constexpr LoadReport kUsual{.in_flight = 6,
-                            .queued = 0,
-                            .limit = 12,
-                            .service_time = 10ms};
-
-// Seven like targets; each has just reported a usual load. Target kOdd is then
-// made to differ.
+constexpr NodeId kTestedNode{1};
+constexpr LoadReport kNormalLoad{.in_flight = 6,
+                                 .queued = 0,
+                                 .limit = 12,
+                                 .service_time = 10ms};
+
+// Seven equal targets that have just reported a normal load. The tests change
+// target kTestedNode.
 class PowerOfChoicesPickerTest : public testing::Test {
  protected:
   PowerOfChoicesPickerTest() {
     for (std::uint64_t node = 1; node <= kTargets; ++node)
       m_picker.Update({.node = NodeId(node), .slots = 12});
-    Settle();
+    AnswerFromOthers();
   }
 
   Dispatch Send(NodeId node) {
@@ -44,16 +44,16 @@
     m_picker.OnEnded(m_now, dispatch, load);
   }
 
-  // An answer of every target but kOdd.
-  void Settle(const LoadReport& load = kUsual) {
+  // Sends an answer from every target but kTestedNode.
+  void AnswerFromOthers(const LoadReport& load = kNormalLoad) {
     for (std::uint64_t node = 2; node <= kTargets; ++node)
       Answer(NodeId(node), load, AnswerQuality::kGood);
   }
 
-  int PicksOfOdd() {
+  int PicksOfTestedNode() {
     int picks = 0;
     for (int round = 0; round < kPicks; ++round)
-      picks += m_picker.Pick(m_now, {}, m_random) == kOdd;
+      picks += m_picker.Pick(m_now, {}, m_random) == kTestedNode;
     return picks;
   }
 
@@ -64,31 +64,30 @@
   TimePoint m_now{1s};
 };
 
-TEST_F(PowerOfChoicesPickerTest, EqualTargetsShare) {
-  Answer(kOdd, kUsual, AnswerQuality::kGood);
-  EXPECT_NEAR(PicksOfOdd(), kFairShare, 0.5 * kFairShare);
+TEST_F(PowerOfChoicesPickerTest, EqualTargetsGetEqualShares) {
+  Answer(kTestedNode, kNormalLoad, AnswerQuality::kGood);
+  EXPECT_NEAR(PicksOfTestedNode(), kFairShare, 0.5 * kFairShare);
 }
 
-TEST_F(PowerOfChoicesPickerTest, FullTargetGetsLittle) {
-  Answer(kOdd,
+TEST_F(PowerOfChoicesPickerTest, FullTargetIsNotPicked) {
+  Answer(kTestedNode,
          {.in_flight = 12, .queued = 6, .limit = 12, .service_time = 10ms},
          AnswerQuality::kGood);
-  EXPECT_EQ(PicksOfOdd(), 0);
+  EXPECT_EQ(PicksOfTestedNode(), 0);
 }
 
-// Symptom: every call that goes to one target fails at once, and it gets more
-// than its share.
-// Sequence: it answers 500 within a millisecond and so reports no load.
-// Cause: idle and fast looks good to a score of load and latency.
-TEST_F(PowerOfChoicesPickerTest, FastErrorsDoNotAttract) {
+// Guards against a target that fails every call immediately and attracts more
+// than its share: it answers 500 within a millisecond, and so reports no load
+// and a short service time.
+TEST_F(PowerOfChoicesPickerTest, FastErrorsDoNotAttractLoad) {
   const LoadReport idle{
       .in_flight = 0, .queued = 0, .limit = 12, .service_time = 1ms};
-  Answer(kOdd, idle, AnswerQuality::kServerError);
-  EXPECT_EQ(PicksOfOdd(), 0);
-  // It is tried again in the end.
+  Answer(kTestedNode, idle, AnswerQuality::kServerError);
+  EXPECT_EQ(PicksOfTestedNode(), 0);
+  // It must be tried again eventually.
   m_now += 20s;
-  Settle();
-  EXPECT_GT(PicksOfOdd(), 0);
+  AnswerFromOthers();
+  EXPECT_GT(PicksOfTestedNode(), 0);
 }
 
 struct RefusalCase {
@@ -99,17 +98,16 @@
 class PickerRefusalTest : public PowerOfChoicesPickerTest,
                           public testing::WithParamInterface<RefusalCase> {};
 
-// Symptom: a target that refuses at once, with little load, gets all retries.
-// Sequence: it refuses one attempt and reports an idle target.
-// Cause: refusals that do not speak against the target.
-TEST_P(PickerRefusalTest, FailuresSpeakAgainstTheTarget) {
+// Guards against a failing target that refuses immediately, reports an idle
+// load and so attracts all retries.
+TEST_P(PickerRefusalTest, FailuresLowerTheScoreOfTheTarget) {
   const LoadReport idle{
       .in_flight = 0, .queued = 0, .limit = 12, .service_time = 10ms};
-  m_picker.OnRefused(m_now, Send(kOdd), GetParam().reason, idle);
+  m_picker.OnRefused(m_now, Send(kTestedNode), GetParam().reason, idle);
   if (GetParam().is_avoided)
-    EXPECT_EQ(PicksOfOdd(), 0);
+    EXPECT_EQ(PicksOfTestedNode(), 0);
   else
-    EXPECT_GT(PicksOfOdd(), kFairShare);
+    EXPECT_GT(PicksOfTestedNode(), kFairShare);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -120,122 +118,119 @@
                     RefusalCase{Reason::kDraining, true},
                     RefusalCase{Reason::kDeadlineTooShort, false}));
 
-// Symptom: callers of a target that has become ten times slower wait.
-// Sequence: it gets a usual number of requests and does not answer for 20 ms;
-// no report tells of it.
-// Cause: a score from reports only.
+// Guards against calls to a target that has become ten times slower before any
+// report shows it: it has the normal number of requests and has not answered
+// for 20 ms.
 TEST_F(PowerOfChoicesPickerTest, SilenceShowsSlownessBeforeAnyReport) {
-  Answer(kOdd, kUsual, AnswerQuality::kGood);
+  Answer(kTestedNode, kNormalLoad, AnswerQuality::kGood);
   for (std::uint64_t node = 1; node <= kTargets; ++node) {
     for (int count = 0; count < 3; ++count)
       Send(NodeId(node));
   }
   m_now += 20ms;
   // All have three more in flight, and the others still answer.
-  Settle({.in_flight = 9, .queued = 0, .limit = 12, .service_time = 10ms});
-  EXPECT_LT(PicksOfOdd(), kFairShare / 10);
+  AnswerFromOthers(
+      {.in_flight = 9, .queued = 0, .limit = 12, .service_time = 10ms});
+  EXPECT_LT(PicksOfTestedNode(), kFairShare / 10);
 }
 
-// Symptom: half of all lookups leave their zone although the near target is
-// hardly used. Sequence: callers send three requests ahead at once; they take
-// as long as always. Cause: the silence until the first of them answers was
-// taken for that of three requests that come one after the other.
-TEST_F(PowerOfChoicesPickerTest, RequestsSentTogetherAreNoSilence) {
-  Answer(kOdd, kUsual, AnswerQuality::kGood);
+// Guards against half of all lookups leaving their zone although the near
+// target is hardly used: the silence until the first of three pipelined
+// requests answers must not count as a delay of each.
+TEST_F(PowerOfChoicesPickerTest, PipelinedRequestsAreNotSilence) {
+  Answer(kTestedNode, kNormalLoad, AnswerQuality::kGood);
   for (std::uint64_t node = 1; node <= kTargets; ++node) {
     for (int count = 0; count < 3; ++count)
       Send(NodeId(node));
   }
   m_now += 12ms;
-  Settle({.in_flight = 9, .queued = 0, .limit = 12, .service_time = 10ms});
-  EXPECT_GT(PicksOfOdd(), kFairShare / 2);
+  AnswerFromOthers(
+      {.in_flight = 9, .queued = 0, .limit = 12, .service_time = 10ms});
+  EXPECT_GT(PicksOfTestedNode(), kFairShare / 2);
 }
 
-// Symptom: a near target is passed over for half a second after each
-// disturbance of a tenth. Sequence: it said that it is four times as slow;
-// nothing has been sent there since. Cause: old words held against it longer
-// than they hold.
-TEST_F(PowerOfChoicesPickerTest, AWordOfSlownessFadesSoon) {
-  Settle();
-  LoadReport slow = kUsual;
+// Guards against avoiding a near target for half a second after each
+// disturbance of 100 ms: its report of a fourfold slowdown must expire although
+// no request was sent since.
+TEST_F(PowerOfChoicesPickerTest, AReportedSlowdownExpiresSoon) {
+  AnswerFromOthers();
+  LoadReport slow = kNormalLoad;
   slow.slowdown = 4;
-  Answer(kOdd, slow, AnswerQuality::kGood);
-  EXPECT_EQ(PicksOfOdd(), 0);
+  Answer(kTestedNode, slow, AnswerQuality::kGood);
+  EXPECT_EQ(PicksOfTestedNode(), 0);
   m_now += 250ms;
-  Settle();
-  EXPECT_GT(PicksOfOdd(), kFairShare / 2);
+  AnswerFromOthers();
+  EXPECT_GT(PicksOfTestedNode(), kFairShare / 2);
 }
 
-// Symptom: a frozen target gets its share again after each deadline.
-// Sequence: it does not answer; the entry cancels at the deadline; nothing is
-// in flight there any more.
-// Cause: a cancelled attempt leaves no trace.
-TEST_F(PowerOfChoicesPickerTest, CancelledAttemptsTellOfSlowness) {
-  Answer(kOdd, kUsual, AnswerQuality::kGood);
-  const Dispatch dispatch = Send(kOdd);
+// Guards against a frozen target that gets its share again after each deadline,
+// because cancelled attempts leave no requests in flight.
+TEST_F(PowerOfChoicesPickerTest, CancelledAttemptsRaiseTheServiceTime) {
+  Answer(kTestedNode, kNormalLoad, AnswerQuality::kGood);
+  const Dispatch dispatch = Send(kTestedNode);
   m_now += 500ms;
   m_picker.OnCancelled(m_now, dispatch);
-  Settle();
-  EXPECT_EQ(PicksOfOdd(), 0);
+  AnswerFromOthers();
+  EXPECT_EQ(PicksOfTestedNode(), 0);
   m_now += 30s;
-  Settle();
-  EXPECT_GT(PicksOfOdd(), 0);
+  AnswerFromOthers();
+  EXPECT_GT(PicksOfTestedNode(), 0);
 }
 
-// Symptom: a leaving target is picked while others are free.
-// Sequence: it refuses with kDraining; membership has not told yet.
-// Cause: a refusal that is taken for load.
-TEST_F(PowerOfChoicesPickerTest, DrainingIsBelievedButNotForGood) {
-  m_picker.OnRefused(m_now, Send(kOdd), Reason::kDraining, LoadReport{});
-  EXPECT_EQ(PicksOfOdd(), 0);
+// Guards against picking a target that has refused with kDraining, before
+// membership reports that it leaves.
+TEST_F(PowerOfChoicesPickerTest, DrainingExcludesTheTargetTemporarily) {
+  m_picker.OnRefused(m_now, Send(kTestedNode), Reason::kDraining, LoadReport{});
+  EXPECT_EQ(PicksOfTestedNode(), 0);
   m_now += 2s;
-  Settle();
-  EXPECT_GT(PicksOfOdd(), 0);
+  AnswerFromOthers();
+  EXPECT_GT(PicksOfTestedNode(), 0);
 }
 
-// Symptom: a target that has just started times out on its first requests.
-// Sequence: it comes with no load at all among busy ones.
-// Cause: the least loaded target gets everything, cold or not.
+// Guards against a target that times out on its first requests after its start,
+// because the least loaded target gets all of them, cold or not.
 TEST_F(PowerOfChoicesPickerTest, ColdTargetGetsARisingShare) {
-  m_picker.Update({.node = kOdd, .slots = 12, .warming_since = m_now});
-  const int cold = PicksOfOdd();
+  m_picker.Update({.node = kTestedNode, .slots = 12, .warming_since = m_now});
+  const int cold = PicksOfTestedNode();
   m_now += 5s;
-  Settle();
-  const int half_warm = PicksOfOdd();
+  AnswerFromOthers();
+  const int half_warm = PicksOfTestedNode();
   m_now += 5s;
-  Settle();
-  const int warm = PicksOfOdd();
+  AnswerFromOthers();
+  const int warm = PicksOfTestedNode();
   EXPECT_LT(cold, kFairShare / 2);
   EXPECT_LE(cold, half_warm);
   EXPECT_LT(half_warm, warm);
 }
 
-TEST_F(PowerOfChoicesPickerTest, NearTargetsGoFirstUntilTheyAreFull) {
-  m_picker.Update(
-      {.node = kOdd, .distance = ZoneDistance::kOtherRegion, .slots = 12});
-  Answer(kOdd, {.in_flight = 0, .queued = 0, .limit = 12, .service_time = 10ms},
+TEST_F(PowerOfChoicesPickerTest, NearTargetsArePickedUntilTheyAreFull) {
+  m_picker.Update({.node = kTestedNode,
+                   .distance = ZoneDistance::kOtherRegion,
+                   .slots = 12});
+  Answer(kTestedNode,
+         {.in_flight = 0, .queued = 0, .limit = 12, .service_time = 10ms},
          AnswerQuality::kGood);
-  EXPECT_EQ(PicksOfOdd(), 0);
+  EXPECT_EQ(PicksOfTestedNode(), 0);
   const LoadReport full{
       .in_flight = 12, .queued = 60, .limit = 12, .service_time = 10ms};
   for (std::uint64_t node = 2; node <= kTargets; ++node)
     Answer(NodeId(node), full, AnswerQuality::kGood);
-  EXPECT_EQ(PicksOfOdd(), kPicks);
+  EXPECT_EQ(PicksOfTestedNode(), kPicks);
 }
 
 struct TransferCase {
   const char* name;
   Duration transfer;
-  // Of the near target's twelve slots.
+  // Slots in use of the near target's twelve.
   std::uint32_t near_in_flight;
   bool is_near_picked;
 };
 
 class ZoneTransferTest : public testing::TestWithParam<TransferCase> {};
 
-// What the bytes of an answer cost between zones is weighed as a wait, so a
-// near target is left for a far one only for more than that.
-TEST_P(ZoneTransferTest, LargeAnswersStayNearUntilItCostsThemMore) {
+// The transfer cost of an answer between zones counts as a delay, so a far
+// target is preferred only if it is faster by more than that.
+TEST_P(ZoneTransferTest, LargeAnswersStayNearUntilWaitExceedsTransferCost) {
   PowerOfChoicesPicker picker{PowerOfChoicesSettings{}};
   SeededRandomSource random{1};
   const TimePoint now(1s);
@@ -244,7 +239,7 @@
   picker.Update({.node = near, .slots = 12});
   picker.Update(
       {.node = far, .distance = ZoneDistance::kSameRegion, .slots = 12});
-  const auto tell = [&](NodeId node, std::uint32_t in_flight) {
+  const auto report = [&](NodeId node, std::uint32_t in_flight) {
     Dispatch dispatch{.node = node, .sent_at = now};
     picker.OnSent(dispatch);
     const LoadReport load{
@@ -252,8 +247,8 @@
     picker.OnAnswerBegun(now, dispatch, load, AnswerQuality::kGood);
     picker.OnEnded(now, dispatch, load);
   };
-  tell(near, GetParam().near_in_flight);
-  tell(far, 0);
+  report(near, GetParam().near_in_flight);
+  report(far, 0);
   PickRequest request;
   request.zone_transfer = GetParam().transfer;
   EXPECT_EQ(picker.Pick(now, request, random),
--- a/source/unit_tests/core/routing/target_picker_test.cc
+++ b/source/unit_tests/core/routing/target_picker_test.cc
@@ -1,4 +1,4 @@
-// Tests that hold for every implementation of `core/routing/target_picker.h`.
+// Tests of every implementation of `core/routing/target_picker.h`.
 
 #include "core/routing/target_picker.h"
 
@@ -65,10 +65,8 @@
     EXPECT_GT(count, kRounds / 20);
 }
 
-// Symptom: a fault, or a wrong count, after a node was replaced.
-// Sequence: the node is removed while an attempt is on its way; then the
-// attempt's events come.
-// Cause: events held for a node that is gone.
+// Guards against a crash or a wrong count when events of an attempt arrive
+// after its node was removed.
 TEST_P(TargetPickerTest, IgnoresEventsOfRemovedNodes) {
   Dispatch dispatch{.node = NodeId(1), .sent_at = m_now};
   m_picker->Update({.node = NodeId(1)});
