--- a/source/core/target_state/cold_start.cc
+++ b/source/core/target_state/cold_start.cc
@@ -1,4 +1,4 @@
-// A target warms by the work it does; time alone does it at half the pace.
+// Part of `cold_start.h`.
 
 #include "core/target_state/cold_start.h"
 
@@ -22,7 +22,7 @@
       m_warm_answers == 0 ? 1.0 : m_answers / double(m_warm_answers);
   const double progress =
       std::min({1.0, by_time, std::max(by_answers, by_time / 2)});
-  return kLeastFactor + (1 - kLeastFactor) * progress;
+  return kMinFactor + (1 - kMinFactor) * progress;
 }
 
 TimePoint ColdStart::EndsAt() const {
--- a/source/core/target_state/cold_start.h
+++ b/source/core/target_state/cold_start.h
@@ -1,5 +1,6 @@
-// The cold start of a target: the factor by which its share of picks rises
-// while its caches fill.
+// Cold start of a target: computes the factor by which its share of picks rises
+// while its caches fill. A target warms up by the requests that it answers;
+// elapsed time alone counts half.
 
 #ifndef BULRUSHMOUNT_CORE_TARGET_STATE_COLD_START_H_
 #define BULRUSHMOUNT_CORE_TARGET_STATE_COLD_START_H_
@@ -12,23 +13,23 @@
 
 class ColdStart {
  public:
-  // `warmup` must be positive. `warm_answers`: real answers after which a
-  // target is as warm as they can make it.
+  // `warmup` must be positive. `warm_answers`: number of answered requests from
+  // which further ones do not make the target warmer.
   ColdStart(TimePoint begun_at, Duration warmup, std::uint32_t warm_answers);
 
   void OnAnswered();
 
-  // In [kLeastFactor, 1], never falling with time or answers. Full after
-  // `warmup` with `warm_answers`, and without them after twice that time, so
-  // that a service without traffic does not stay cold for ever.
+  // In [kMinFactor, 1]; never decreases with time or answers. Reaches 1 after
+  // `warmup` with `warm_answers`, and otherwise after twice `warmup`, so that a
+  // service without traffic does not stay cold forever.
   double Factor(TimePoint now) const;
   bool IsOver(TimePoint now) const { return now >= EndsAt(); }
 
-  // When it is over unless answers come before.
+  // End of the cold start if no further requests are answered.
   TimePoint EndsAt() const;
 
-  // Enough that a cold target gets some work to warm up by.
-  static constexpr double kLeastFactor = 0.1;
+  // Large enough that a cold target gets some requests to warm up with.
+  static constexpr double kMinFactor = 0.1;
 
  private:
   TimePoint m_begun_at;
--- a/source/core/target_state/refused_reports.h
+++ b/source/core/target_state/refused_reports.h
@@ -1,5 +1,5 @@
-// Limits log lines about refused target reports. A faulty sender repeats the
-// same fault several times a second.
+// Limits the log lines about refused target reports, since a faulty sender
+// repeats the same fault several times a second.
 
 #ifndef BULRUSHMOUNT_CORE_TARGET_STATE_REFUSED_REPORTS_H_
 #define BULRUSHMOUNT_CORE_TARGET_STATE_REFUSED_REPORTS_H_
@@ -17,27 +17,27 @@
 
 class RefusedReports {
  public:
-  // Each fault of a sender is logged once; at most this many lines within
-  // kForgetAfter. The metric counts all of them.
-  static constexpr std::size_t kMaxReported = 64;
-  static constexpr Duration kForgetAfter = std::chrono::minutes(10);
+  // Each fault of a sender is logged once within kResetAfter, and at most this
+  // many lines in total. The metric counts all refused reports.
+  static constexpr std::size_t kMaxLogged = 64;
+  static constexpr Duration kResetAfter = std::chrono::minutes(10);
 
   bool ShouldLog(TimePoint now,
                  const InstanceId& sender,
                  std::string_view fault) {
-    if (now - m_since > kForgetAfter) {
-      m_reported.clear();
-      m_since = now;
+    if (now - m_reset_at > kResetAfter) {
+      m_logged.clear();
+      m_reset_at = now;
     }
-    if (m_reported.size() >= kMaxReported)
+    if (m_logged.size() >= kMaxLogged)
       return false;
-    return m_reported.emplace(sender.value(), fault).second;
+    return m_logged.emplace(sender.value(), fault).second;
   }
 
  private:
-  // At most kMaxReported.
-  std::set<std::pair<std::string, std::string>> m_reported;
-  TimePoint m_since;
+  // Sender and fault of each logged line; at most kMaxLogged.
+  std::set<std::pair<std::string, std::string>> m_logged;
+  TimePoint m_reset_at;
 };
 
 }  // namespace bulrushmount
--- a/source/core/target_state/target_evidence.cc
+++ b/source/core/target_state/target_evidence.cc
@@ -1,4 +1,4 @@
-// Counts what real requests and probes say.
+// Part of `target_evidence.h`.
 
 #include "core/target_state/target_evidence.h"
 
@@ -19,8 +19,9 @@
       m_is_trial = false;
       break;
     case RealResult::kShed:
-      // A full target sheds and answers in turn, one that drains only sheds:
-      // this counts by its own run, not as a failure of the window.
+      // A full target sheds and answers alternately, a draining one only sheds,
+      // so sheds count by their consecutive number and not as failures in the
+      // window.
       ++m_sheds;
       return;
     case RealResult::kConnectFailed:
@@ -28,20 +29,20 @@
     case RealResult::kBrokenOff:
       break;
   }
-  Remember({workspace, now, result != RealResult::kAnswered});
+  AddResult({workspace, now, result != RealResult::kAnswered});
 }
 
-void TargetEvidence::Remember(const Result& result) {
+void TargetEvidence::AddResult(const Result& result) {
   m_results.push_back(result);
   if (m_results.size() > m_thresholds.window) {
     m_results.pop_front();
   }
-  std::erase_if(m_by_workspace, [&](const Result& known) {
+  std::erase_if(m_last_by_workspace, [&](const Result& known) {
     return known.workspace == result.workspace;
   });
-  m_by_workspace.push_back(result);
-  if (m_by_workspace.size() > m_thresholds.workspaces) {
-    m_by_workspace.pop_front();
+  m_last_by_workspace.push_back(result);
+  if (m_last_by_workspace.size() > m_thresholds.max_workspaces) {
+    m_last_by_workspace.pop_front();
   }
 }
 
@@ -49,14 +50,14 @@
   m_probes_failed = is_healthy ? 0 : m_probes_failed + 1;
 }
 
-bool TargetEvidence::IsFailingReal(TimePoint now) const {
+bool TargetEvidence::IsFailingRequests(TimePoint now) const {
   if (m_connects_failed >= m_thresholds.connects_failed ||
       m_sheds >= m_thresholds.sheds) {
     return true;
   }
-  const std::size_t least_results =
-      m_is_trial ? m_thresholds.trial_results : m_thresholds.least_results;
-  if (m_results.size() < least_results) {
+  const std::size_t min_results =
+      m_is_trial ? m_thresholds.trial_results : m_thresholds.min_results;
+  if (m_results.size() < min_results) {
     return false;
   }
   const auto failures =
@@ -65,29 +66,31 @@
   const auto results = static_cast<double>(m_results.size());
   return static_cast<double>(failures) >=
              m_thresholds.failed_fraction * results &&
-         DoWorkspacesAgree(now);
+         IsFailingAcrossWorkspaces(now);
 }
 
-std::vector<TargetEvidence::Vote> TargetEvidence::Votes(TimePoint now) const {
-  std::vector<Vote> votes;
+std::vector<TargetEvidence::WorkspaceResults>
+TargetEvidence::ResultsByWorkspace(TimePoint now) const {
+  std::vector<WorkspaceResults> entries;
   const auto add = [&](const Result& result) {
-    if (now - result.at >= m_thresholds.workspace_memory) {
+    if (now - result.at >= m_thresholds.workspace_result_lifetime) {
       return;
     }
-    auto vote = std::find_if(votes.begin(), votes.end(), [&](const Vote& one) {
-      return one.workspace == result.workspace;
-    });
-    if (vote == votes.end()) {
-      vote = votes.insert(votes.end(), Vote{result.workspace});
+    auto entry = std::find_if(entries.begin(), entries.end(),
+                              [&](const WorkspaceResults& one) {
+                                return one.workspace == result.workspace;
+                              });
+    if (entry == entries.end()) {
+      entry = entries.insert(entries.end(), WorkspaceResults{result.workspace});
     }
-    ++vote->results;
-    vote->failures += result.is_failure ? 1 : 0;
+    ++entry->results;
+    entry->failures += result.is_failure ? 1 : 0;
   };
   std::for_each(m_results.begin(), m_results.end(), add);
-  if (votes.size() >= m_thresholds.least_workspaces) {
-    return votes;
+  if (entries.size() >= m_thresholds.min_workspaces) {
+    return entries;
   }
-  for (const Result& last : m_by_workspace) {
+  for (const Result& last : m_last_by_workspace) {
     const bool is_in_window = std::any_of(
         m_results.begin(), m_results.end(),
         [&](const Result& one) { return one.workspace == last.workspace; });
@@ -95,45 +98,45 @@
       add(last);
     }
   }
-  return votes;
+  return entries;
 }
 
-// Each workspace counts alike, however many requests it sends. What goes wrong
-// else: one workspace whose requests always fail sends four fifths of the
-// traffic, and takes one target out after the other for all others.
-bool TargetEvidence::DoWorkspacesAgree(TimePoint now) const {
-  const std::vector<Vote> votes = Votes(now);
+// All workspaces have equal weight, however many requests they send. Otherwise
+// one workspace that sends four fifths of the traffic and whose requests always
+// fail would take one target after the other out of service for all others.
+bool TargetEvidence::IsFailingAcrossWorkspaces(TimePoint now) const {
+  const std::vector<WorkspaceResults> entries = ResultsByWorkspace(now);
   double failed = 0;
-  for (const Vote& vote : votes) {
-    failed +=
-        static_cast<double>(vote.failures) / static_cast<double>(vote.results);
+  for (const WorkspaceResults& entry : entries) {
+    failed += static_cast<double>(entry.failures) /
+              static_cast<double>(entry.results);
   }
   return failed >=
-         m_thresholds.failed_fraction * static_cast<double>(votes.size());
+         m_thresholds.failed_fraction * static_cast<double>(entries.size());
 }
 
-bool TargetEvidence::IsOfOneWorkspace(TimePoint now) const {
+bool TargetEvidence::IsFromOneWorkspace(TimePoint now) const {
   if (m_connects_failed >= m_thresholds.connects_failed ||
       m_sheds >= m_thresholds.sheds) {
     return false;
   }
-  const std::vector<Vote> votes = Votes(now);
-  return votes.size() == 1 && votes.front().workspace != WorkspaceName();
+  const std::vector<WorkspaceResults> entries = ResultsByWorkspace(now);
+  return entries.size() == 1 && entries.front().workspace != WorkspaceName();
 }
 
 bool TargetEvidence::IsFailingProbes(TimePoint now) const {
-  return m_probes_failed >= m_thresholds.probes && !IsObserved(now);
+  return m_probes_failed >= m_thresholds.probes && !HasRecentAnswer(now);
 }
 
-bool TargetEvidence::IsObserved(TimePoint now) const {
-  return m_last_answer && now < *m_last_answer + m_thresholds.fresh;
+bool TargetEvidence::HasRecentAnswer(TimePoint now) const {
+  return m_last_answer && now < *m_last_answer + m_thresholds.answer_lifetime;
 }
 
-std::optional<TimePoint> TargetEvidence::ObservedUntil() const {
+std::optional<TimePoint> TargetEvidence::RecentAnswerUntil() const {
   if (!m_last_answer) {
     return std::nullopt;
   }
-  return *m_last_answer + m_thresholds.fresh;
+  return *m_last_answer + m_thresholds.answer_lifetime;
 }
 
 void TargetEvidence::Clear() {
--- a/source/core/target_state/target_evidence.h
+++ b/source/core/target_state/target_evidence.h
@@ -1,6 +1,6 @@
-// What has been seen of a target of late. Real answers are the evidence; health
-// endpoints lag and mislead, so a probe counts only where there are no fresh
-// real answers, and never against them.
+// Recent evidence of a target's health, from its requests and its probes.
+// Results of requests take precedence: health endpoints lag and can be
+// wrong, so a probe counts only without recent answers, and never against them.
 
 #ifndef BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_EVIDENCE_H_
 #define BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_EVIDENCE_H_
@@ -16,42 +16,44 @@
 
 namespace bulrushmount {
 
-// How the hand-over of one real request to the target ended.
+// Result of handing one request to the target.
 enum class RealResult : std::uint8_t {
-  // A whole answer that the target stands for (any status below 500).
+  // A complete answer with a status below 500.
   kAnswered,
-  // An answer with a status of 500 or more that is no shedding.
+  // An answer with a status of 500 or more that does not signal shedding.
   kError,
-  // The target's signal that it did not run the request.
+  // The target signalled that it did not run the request.
   kShed,
-  // No connection could be made.
+  // The connection could not be established.
   kConnectFailed,
-  // Broken off after the request was handed over.
+  // The connection was lost after the request was handed over.
   kBrokenOff,
 };
 
 struct EvidenceThresholds {
-  // Connections refused one after the other.
+  // Consecutive refused connections.
   std::uint32_t connects_failed = 3;
-  // Requests shed one after the other, none answered in between.
+  // Consecutive shed requests without an answer in between.
   std::uint32_t sheds = 8;
-  // Of the last `window` results at least `least_results` are known, and at
-  // least this fraction are errors or broken off.
+  // The target is failing if at least `min_results` of the last `window`
+  // results are known, and at least this fraction of these are errors or lost
+  // connections.
   double failed_fraction = 0.8;
   std::size_t window = 20;
-  std::size_t least_results = 10;
-  // Results count for their workspaces for `workspace_memory`. With fewer
-  // workspaces than this in the window, the last results of others count too.
-  std::size_t least_workspaces = 3;
-  Duration workspace_memory = std::chrono::seconds(10);
-  // Of at most so many workspaces the last result is kept.
-  std::size_t workspaces = 16;
-  // A target on trial after real failures: its first results, all failures.
+  std::size_t min_results = 10;
+  // Time for which results count for their workspaces, and number of workspaces
+  // in the window below which the last results of further workspaces count too.
+  std::size_t min_workspaces = 3;
+  Duration workspace_result_lifetime = std::chrono::seconds(10);
+  // Maximum number of workspaces whose last result is kept.
+  std::size_t max_workspaces = 16;
+  // Number of results, all failures, from which a target on trial after failed
+  // requests is failing again.
   std::size_t trial_results = 3;
-  // Probes failed or unhealthy one after the other.
+  // Consecutive failed or unhealthy probes.
   std::uint32_t probes = 3;
-  // A real answer speaks for the target this long.
-  Duration fresh = std::chrono::seconds(2);
+  // Time for which an answer counts as recent.
+  Duration answer_lifetime = std::chrono::seconds(2);
 };
 
 class TargetEvidence {
@@ -62,21 +64,22 @@
   void OnReal(TimePoint now, RealResult result, const WorkspaceName& workspace);
   void OnProbe(bool is_healthy);
 
-  // Real requests say that new ones would fail.
-  bool IsFailingReal(TimePoint now) const;
-  // Probes say so, and no fresh real answer says otherwise.
+  // Whether the results of requests indicate that new ones would fail.
+  bool IsFailingRequests(TimePoint now) const;
+  // Whether probes fail and there is no recent answer.
   bool IsFailingProbes(TimePoint now) const;
-  // A real answer has come of late.
-  bool IsObserved(TimePoint now) const;
-  // The results come from one workspace, by its name: it may be to blame
-  // itself. Refused connections and sheds are nobody's doing.
-  bool IsOfOneWorkspace(TimePoint now) const;
-  // When IsObserved ends, if it holds.
-  std::optional<TimePoint> ObservedUntil() const;
+  // Whether there is a recent answer.
+  bool HasRecentAnswer(TimePoint now) const;
+  // Whether all results are from one named workspace, whose requests may
+  // themselves be the cause. Refused connections and sheds are never attributed
+  // to a workspace.
+  bool IsFromOneWorkspace(TimePoint now) const;
+  // Time until which HasRecentAnswer holds; empty without an answer.
+  std::optional<TimePoint> RecentAnswerUntil() const;
 
   void Clear();
 
-  // Until the next real answer fewer failures suffice.
+  // Lowers the number of failures that suffice until the next answer.
   void BeginTrial() { m_is_trial = true; }
 
  private:
@@ -86,23 +89,23 @@
     bool is_failure = false;
   };
 
-  // One workspace's part in the judgement.
-  struct Vote {
+  // Results of one workspace.
+  struct WorkspaceResults {
     WorkspaceName workspace;
     std::size_t results = 0;
     std::size_t failures = 0;
   };
 
-  void Remember(const Result& result);
-  std::vector<Vote> Votes(TimePoint now) const;
-  bool DoWorkspacesAgree(TimePoint now) const;
+  void AddResult(const Result& result);
+  std::vector<WorkspaceResults> ResultsByWorkspace(TimePoint now) const;
+  bool IsFailingAcrossWorkspaces(TimePoint now) const;
 
   EvidenceThresholds m_thresholds;
-  // The last results.
+  // The last `window` results, oldest first.
   std::deque<Result> m_results;
-  // The last one of each workspace, the newest at the end. Kept in a trial:
-  // what others got a moment ago still speaks.
-  std::deque<Result> m_by_workspace;
+  // The last result of each workspace, newest at the end. Not cleared for a
+  // trial, since recent results of other workspaces still count.
+  std::deque<Result> m_last_by_workspace;
   std::uint32_t m_connects_failed = 0;
   std::uint32_t m_sheds = 0;
   std::uint32_t m_probes_failed = 0;
--- a/source/core/target_state/target_gate.cc
+++ b/source/core/target_state/target_gate.cc
@@ -11,9 +11,9 @@
 
 namespace {
 
-// Targets that follow one another beside one node while a heartbeat can still
-// be under way: a restart takes seconds, and a delayed heartbeat comes within
-// minutes.
+// Maximum number of targets that are remembered on one node while their
+// heartbeats can still arrive: a restart takes seconds, and a delayed heartbeat
+// arrives within minutes.
 constexpr std::size_t kMaxRecords = 64;
 
 }  // namespace
@@ -21,15 +21,15 @@
 GateVerdict TargetGate::OnHeartbeat(TimePoint now,
                                     const TargetHeartbeat& heartbeat) {
   Record& record = RecordOf(heartbeat.instance);
-  if (!FollowProcess(heartbeat.started, record)) {
+  if (!UpdateProcess(heartbeat.started, record)) {
     LogLine(LogLevel::kInfo, "target.heartbeat_of_earlier_process")
         .Add("instance", heartbeat.instance)
         .Add("sequence", heartbeat.sequence);
     return heartbeat.readiness == TargetReadiness::kDraining
-               ? CloseEarlier(heartbeat.instance, heartbeat.started)
+               ? CloseEarlierProcess(heartbeat.instance, heartbeat.started)
                : GateVerdict::kNone;
   }
-  // Draining is for good, however old the word is.
+  // Draining is final, even if the heartbeat is late.
   if (heartbeat.readiness == TargetReadiness::kDraining)
     return Close(heartbeat.instance);
   const bool is_stale = heartbeat.sequence <= record.newest_sequence;
@@ -52,14 +52,14 @@
 
 GateVerdict TargetGate::OnDeparted(const InstanceId& instance,
                                    const std::optional<ProcessStart>& started) {
-  if (!FollowProcess(started, RecordOf(instance)))
-    return CloseEarlier(instance, started);
+  if (!UpdateProcess(started, RecordOf(instance)))
+    return CloseEarlierProcess(instance, started);
   return Close(instance);
 }
 
-// Until a later process is confirmed the earlier one is the one in place, and
-// its leaving counts.
-GateVerdict TargetGate::CloseEarlier(
+// Until a later process is confirmed, the earlier one is the current target, so
+// its departure closes the gate.
+GateVerdict TargetGate::CloseEarlierProcess(
     const InstanceId& instance,
     const std::optional<ProcessStart>& started) {
   const bool is_current = m_current && m_current->instance == instance &&
@@ -70,7 +70,7 @@
   return GateVerdict::kClose;
 }
 
-bool TargetGate::FollowProcess(const std::optional<ProcessStart>& started,
+bool TargetGate::UpdateProcess(const std::optional<ProcessStart>& started,
                                Record& record) {
   if (!started)
     return true;
@@ -85,13 +85,13 @@
   return true;
 }
 
-bool TargetGate::IsSameProcess(const std::optional<TargetHeartbeat>& place,
+bool TargetGate::IsSameProcess(const std::optional<TargetHeartbeat>& known,
                                const TargetHeartbeat& heartbeat) {
-  if (!place || place->instance != heartbeat.instance)
+  if (!known || known->instance != heartbeat.instance)
     return false;
-  // A word that does not tell is of the process that is known.
-  return !place->started || !heartbeat.started ||
-         place->started == heartbeat.started;
+  // A heartbeat without a start time is attributed to the known process.
+  return !known->started || !heartbeat.started ||
+         known->started == heartbeat.started;
 }
 
 GateVerdict TargetGate::OnProbe(const InstanceId& instance, bool is_healthy) {
@@ -100,12 +100,13 @@
   const bool is_other =
       !instance.value().empty() && instance != m_candidate->instance;
   if (is_other) {
-    // The word was late: another target has the place by now.
+    // The heartbeat was late: another target answers at the address by now.
     RecordOf(m_candidate->instance).is_closed = true;
     m_candidate.reset();
     return GateVerdict::kNone;
   }
-  // An unhealthy one may drain, or say so wrongly: its next heartbeat tells.
+  // An unhealthy target may be draining, or its health endpoint may be wrong;
+  // its next heartbeat decides.
   if (!is_healthy)
     return GateVerdict::kNone;
   const TargetHeartbeat confirmed = *m_candidate;
--- a/source/core/target_state/target_gate.h
+++ b/source/core/target_state/target_gate.h
@@ -1,18 +1,18 @@
-// Which target is beside the node, and whether it may be handed work, by what
-// targets say of themselves: heartbeats that come late or out of order, from
+// Tracks which target runs on the node and whether it may get requests, by the
+// heartbeats of targets. These may arrive late or out of order, and from
 // targets that have drained, left, or been replaced at the same address.
 //
-// What goes wrong without it: a node that was restarted knows nothing, and a
-// heartbeat that was held up says "ready" of a target that has since told the
-// node before that it leaves. Opening on that heartbeat sends work to a target
-// that was promised none; one would see requests that begin after the drain
-// was acknowledged. So the first word of a target counts only once the target
-// itself confirms it: by its health endpoint under the same id, or by a second,
-// newer heartbeat. A process that has drained or left once never opens again.
+// A node that was restarted has no state, and a delayed "ready" heartbeat may
+// be from a target that has since reported to the previous process that it
+// drains. Opening on that heartbeat would start requests on the target after
+// its drain was acknowledged. So the first heartbeat of a target counts only
+// once the target itself confirms it: by its health endpoint under the same id,
+// or by a second, newer heartbeat. A process that has drained or left never
+// opens the gate again.
 //
-// A target may start again under its id, and its sequence begins anew. What
-// goes wrong without telling its processes apart: the new one looks like late
-// words of the old one, and the target gets no work for good.
+// A target may restart under the same id, and its sequence numbers start again.
+// Unless its processes are told apart, the heartbeats of the new one look like
+// late ones of the old one, and the target never gets requests again.
 
 #ifndef BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_GATE_H_
 #define BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_GATE_H_
@@ -28,60 +28,62 @@
 
 namespace bulrushmount {
 
-// What is to be done after an event.
+// Action for the caller to take after an event.
 enum class GateVerdict : std::uint8_t {
   kNone,
-  // Ask the health endpoint of `candidate`, and tell OnProbe.
+  // Probe the health endpoint of `candidate`, and call OnProbe with the result.
   kProbe,
-  // `current` may have work; it is new, or its heartbeat was repeated.
+  // `current` may get requests; it is new, or its heartbeat was repeated.
   kOpen,
-  // The target takes no more work.
+  // The target gets no more requests.
   kClose,
 };
 
 class TargetGate {
  public:
   GateVerdict OnHeartbeat(TimePoint now, const TargetHeartbeat& heartbeat);
-  // `started` tells which process of the target has left; without it, the
-  // newest that is known.
+  // `started` is the process of the target that has left; without it, the
+  // newest known one.
   GateVerdict OnDeparted(const InstanceId& instance,
                          const std::optional<ProcessStart>& started = {});
 
-  // `instance` is who answered; empty if the target tells no id.
+  // `instance` is the id of the target that answered; empty if it does not
+  // report one.
   GateVerdict OnProbe(const InstanceId& instance, bool is_healthy);
   GateVerdict OnProbeFailed();
 
-  // The target that may have work; empty if there is none.
+  // The target that may get requests; empty if there is none.
   const std::optional<TargetHeartbeat>& current() const { return m_current; }
-  // The target whose first word is not yet confirmed.
+  // The target whose first heartbeat is not confirmed yet.
   const std::optional<TargetHeartbeat>& candidate() const {
     return m_candidate;
   }
 
  private:
-  // What is remembered of a target's newest process, so that a late word of it
-  // or of an earlier one is known as such.
+  // State of a target's newest process, by which late heartbeats of it and of
+  // earlier processes are recognized.
   struct Record {
     InstanceId instance;
-    // Empty until a word has told it. Never falls.
+    // Empty until a heartbeat reports it. Never decreases.
     std::optional<ProcessStart> started;
     std::uint64_t newest_sequence = 0;
-    // It drains, has left or was replaced. Never taken back for this process.
+    // The process drains, has left or was replaced. Never reset for this
+    // process.
     bool is_closed = false;
   };
 
   Record& RecordOf(const InstanceId& instance);
-  // Whether a word of the process that started then is of the record's, which
-  // becomes that process if it is a later one. False for an earlier one.
-  static bool FollowProcess(const std::optional<ProcessStart>& started,
+  // Returns whether the process that started at `started` is the record's; if
+  // it is a later one, the record is updated to it. False for an earlier one.
+  static bool UpdateProcess(const std::optional<ProcessStart>& started,
                             Record& record);
-  // Whether the target of the word is the one in `place`, in the same process.
-  static bool IsSameProcess(const std::optional<TargetHeartbeat>& place,
+  // Whether `heartbeat` is from the target and process of `known`.
+  static bool IsSameProcess(const std::optional<TargetHeartbeat>& known,
                             const TargetHeartbeat& heartbeat);
   GateVerdict Close(const InstanceId& instance);
-  // A process of the target that is no longer its newest has left.
-  GateVerdict CloseEarlier(const InstanceId& instance,
-                           const std::optional<ProcessStart>& started);
+  // Handles the departure of a process that is no longer its target's newest.
+  GateVerdict CloseEarlierProcess(const InstanceId& instance,
+                                  const std::optional<ProcessStart>& started);
   GateVerdict Open(const TargetHeartbeat& heartbeat);
 
   // Newest last; at most kMaxRecords.
--- a/source/core/target_state/target_heartbeat.h
+++ b/source/core/target_state/target_heartbeat.h
@@ -1,4 +1,4 @@
-// What a target that is known by an id says of itself, again and again.
+// Heartbeats that a target with an instance id sends periodically about itself.
 
 #ifndef BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_HEARTBEAT_H_
 #define BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_HEARTBEAT_H_
@@ -15,23 +15,24 @@
 
 enum class TargetReadiness : std::uint8_t { kReady, kDraining };
 
-// When a target's process started, by its own time of day. A target that starts
-// again under its id has a later one, and remembers nothing of before. Compared
-// only between words of one id.
+// Start time of a target's process by the target's own clock. A target that
+// restarts under the same id has a later one, and its new process has no state
+// of the earlier one. Comparable only between heartbeats of the same id.
 using ProcessStart = std::chrono::sys_time<std::chrono::milliseconds>;
 
-// May come late, out of order, and after a newer target has taken the place.
+// May arrive late, out of order, or after a newer target has replaced the
+// sender.
 struct TargetHeartbeat {
   InstanceId instance;
   ServiceName service;
   Endpoint endpoint;
   std::uint32_t slots = 0;
   TargetReadiness readiness = TargetReadiness::kReady;
-  // What is left of the target's cold start.
+  // Remaining time of the target's cold start.
   Duration cold_time_left{};
-  // Rises with each heartbeat of one process of a target.
+  // Increases with each heartbeat of a target's process.
   std::uint64_t sequence = 0;
-  // Empty if the target does not tell.
+  // Empty if the target does not report it.
   std::optional<ProcessStart> started{};
 };
 
--- a/source/core/target_state/target_life.cc
+++ b/source/core/target_state/target_life.cc
@@ -1,4 +1,5 @@
-// Weighs the evidence and drives the machine.
+// Part of `target_lifecycle.h`: evaluates the evidence and drives the state
+// machine.
 
 #include "core/target_state/target_life.h"
 
@@ -14,8 +15,9 @@
 
 namespace {
 
-// A cold start must last some time; this one is over before any answer.
-constexpr Duration kShortestColdStart = std::chrono::milliseconds(1);
+// Minimum duration of a cold start, which must be positive; short enough to be
+// over before any answer.
+constexpr Duration kMinColdStart = std::chrono::milliseconds(1);
 
 }  // namespace
 
@@ -44,16 +46,16 @@
         cold_start(TimePoint(),
                    life_settings.warmup,
                    life_settings.warm_answers),
-        suspicion(life_settings.shortest_suspicion) {}
+        suspicion_duration(life_settings.shortest_suspicion) {}
 
-  void Apply(TargetLifeEvent event, std::string_view cause);
-  ColdStart ColdStartOf(TimePoint now) const;
-  void Begin(TimePoint now, const TargetAnnouncement& next);
-  void Suspect(TimePoint now, bool by_real, std::string_view cause);
-  void TryAgain(TimePoint now);
+  void HandleEvent(TargetLifeEvent event, std::string_view cause);
+  ColdStart NewColdStart(TimePoint now) const;
+  void StartLifecycle(TimePoint now, const TargetAnnouncement& next);
+  void Suspect(TimePoint now, bool by_requests, std::string_view cause);
+  void Retry(TimePoint now);
   void EndColdStart(TimePoint now);
-  bool TakesWork() const;
-  TimePoint TrialAt() const;
+  bool AcceptsRequests() const;
+  TimePoint RetryAt() const;
   TimePoint NeedChangesAt() const;
 
   TargetLifeSettings settings;
@@ -61,19 +63,20 @@
   TargetEvidence evidence;
   TimePoint last_call;
   ColdStart cold_start;
-  // The target's last words; set unless it never came.
+  // The target's last announcement; empty before the first one.
   std::optional<TargetAnnouncement> announcement;
   std::uint32_t announcements_missed = 0;
 
-  // Of the suspicion that holds, or the next one.
-  Duration suspicion;
+  // Duration of the current or the next suspicion.
+  Duration suspicion_duration;
   TimePoint suspected_at;
-  // Real requests failed, so no probe ends the suspicion before its time.
-  bool is_suspected_by_real = false;
+  // Requests failed, so no probe ends the suspicion before its time.
+  bool is_suspected_by_requests = false;
   bool is_probe_healthy_since = false;
 };
 
-void TargetLife::Impl::Apply(TargetLifeEvent event, std::string_view cause) {
+void TargetLife::Impl::HandleEvent(TargetLifeEvent event,
+                                   std::string_view cause) {
   const TargetState before = machine.state();
   machine.Handle(event);
   if (machine.state() == before) {
@@ -85,84 +88,87 @@
       .Add("cause", cause);
 }
 
-// A target that says how long it stays cold is warm after that time, whatever
-// work it gets.
-ColdStart TargetLife::Impl::ColdStartOf(TimePoint now) const {
+// A target that announces how long it stays cold is warm after that time,
+// regardless of its answers.
+ColdStart TargetLife::Impl::NewColdStart(TimePoint now) const {
   if (!announcement || !announcement->cold_time_left)
     return ColdStart(now, settings.warmup, settings.warm_answers);
-  return ColdStart(
-      now, std::max(*announcement->cold_time_left, kShortestColdStart), 0);
+  return ColdStart(now, std::max(*announcement->cold_time_left, kMinColdStart),
+                   0);
 }
 
-void TargetLife::Impl::Begin(TimePoint now, const TargetAnnouncement& next) {
+void TargetLife::Impl::StartLifecycle(TimePoint now,
+                                      const TargetAnnouncement& next) {
   announcement = next;
   announcements_missed = 0;
   evidence = TargetEvidence(settings.thresholds);
-  cold_start = ColdStartOf(now);
-  suspicion = settings.shortest_suspicion;
-  Apply(TargetLifeEvent::kAnnounced, "announced");
+  cold_start = NewColdStart(now);
+  suspicion_duration = settings.shortest_suspicion;
+  HandleEvent(TargetLifeEvent::kAnnounced, "announced");
 }
 
 void TargetLife::Impl::Suspect(TimePoint now,
-                               bool by_real,
+                               bool by_requests,
                                std::string_view cause) {
   if (machine.state() == TargetState::kSuspect) {
-    is_suspected_by_real = is_suspected_by_real || by_real;
+    is_suspected_by_requests = is_suspected_by_requests || by_requests;
     return;
   }
-  if (!TakesWork()) {
+  if (!AcceptsRequests()) {
     return;
   }
-  is_suspected_by_real = by_real;
+  is_suspected_by_requests = by_requests;
   is_probe_healthy_since = false;
   suspected_at = now;
-  Apply(TargetLifeEvent::kSuspected, cause);
+  HandleEvent(TargetLifeEvent::kSuspected, cause);
 }
 
-// After real failures the target goes through its cold start again, so little
-// work goes to it until real answers have come.
-void TargetLife::Impl::TryAgain(TimePoint now) {
-  const Duration longest = evidence.IsOfOneWorkspace(now)
-                               ? settings.longest_suspicion_by_one
+// After failed requests the target goes through its cold start again, so that
+// it gets few requests until some are answered.
+void TargetLife::Impl::Retry(TimePoint now) {
+  const Duration longest = evidence.IsFromOneWorkspace(now)
+                               ? settings.longest_suspicion_by_one_workspace
                                : settings.longest_suspicion;
-  suspicion = std::min(2 * suspicion, longest);
+  suspicion_duration = std::min(2 * suspicion_duration, longest);
   evidence.Clear();
-  if (is_suspected_by_real) {
+  if (is_suspected_by_requests) {
     evidence.BeginTrial();
-    cold_start = ColdStartOf(now);
+    cold_start = NewColdStart(now);
   }
-  Apply(TargetLifeEvent::kAnswers, "tried_again");
+  HandleEvent(TargetLifeEvent::kAnswered, "tried_again");
 }
 
 void TargetLife::Impl::EndColdStart(TimePoint now) {
   if (machine.state() != TargetState::kWarming || !cold_start.IsOver(now)) {
     return;
   }
-  if (evidence.IsObserved(now)) {
-    suspicion = settings.shortest_suspicion;
+  if (evidence.HasRecentAnswer(now)) {
+    suspicion_duration = settings.shortest_suspicion;
   }
-  Apply(TargetLifeEvent::kColdStartOver, "warm");
+  HandleEvent(TargetLifeEvent::kColdStartOver, "warm");
 }
 
-bool TargetLife::Impl::TakesWork() const {
+bool TargetLife::Impl::AcceptsRequests() const {
   const TargetState state = machine.state();
   return state == TargetState::kAnnounced || state == TargetState::kWarming ||
          state == TargetState::kServing;
 }
 
-// A healthy probe ends a suspicion of probes at once and one of real failures
-// when its time is over. Without a probe, since the measuring budget may be
-// spent or the endpoint may lie, it ends after twice its time all the same.
-TimePoint TargetLife::Impl::TrialAt() const {
+// A healthy probe immediately ends a suspicion that is based on probes, and one
+// that is based on requests once its time is over. Without a healthy probe the
+// suspicion ends after twice its time, since the measuring budget may be used
+// up or the health endpoint may be wrong.
+TimePoint TargetLife::Impl::RetryAt() const {
   if (is_probe_healthy_since) {
-    return is_suspected_by_real ? suspected_at + suspicion : suspected_at;
+    return is_suspected_by_requests ? suspected_at + suspicion_duration
+                                    : suspected_at;
   }
-  return suspected_at + 2 * suspicion;
+  return suspected_at + 2 * suspicion_duration;
 }
 
-// When real answers cease to speak for it and probes are needed.
+// Time at which there is no recent answer any more and probes are needed.
 TimePoint TargetLife::Impl::NeedChangesAt() const {
-  const std::optional<TimePoint> until = evidence.ObservedUntil();
+  const std::optional<TimePoint> until = evidence.RecentAnswerUntil();
   return until && *until > last_call ? *until : TimePoint::max();
 }
 
@@ -175,16 +181,17 @@
                              const TargetAnnouncement& announcement) {
   const auto& known = m_impl->announcement;
   if (!known || announcement.incarnation > known->incarnation) {
-    m_impl->Begin(now, announcement);
+    m_impl->StartLifecycle(now, announcement);
     return;
   }
   if (announcement.incarnation < known->incarnation) {
     return;
   }
   if (m_impl->machine.state() == TargetState::kGone) {
-    // Gone for want of announcements, and back; a withdrawn one stays gone.
+    // A target that was gone because of missed announcements returns; a
+    // withdrawn one does not.
     if (m_impl->announcements_missed > 0) {
-      m_impl->Begin(now, announcement);
+      m_impl->StartLifecycle(now, announcement);
     }
     return;
   }
@@ -197,11 +204,11 @@
     return;
   }
   ++m_impl->announcements_missed;
-  if (m_impl->evidence.IsObserved(now)) {
+  if (m_impl->evidence.HasRecentAnswer(now)) {
     return;
   }
   if (m_impl->announcements_missed >= m_impl->settings.announcements_missed) {
-    m_impl->Apply(TargetLifeEvent::kGone, "announcements_missed");
+    m_impl->HandleEvent(TargetLifeEvent::kGone, "announcements_missed");
     return;
   }
   m_impl->Suspect(now, false, "announcement_missed");
@@ -209,12 +216,12 @@
 
 void TargetLife::OnWithdrawn(TimePoint now) {
   m_impl->announcements_missed = 0;
-  m_impl->Apply(TargetLifeEvent::kWithdrawn, "withdrawn");
+  m_impl->HandleEvent(TargetLifeEvent::kWithdrawn, "withdrawn");
 }
 
 void TargetLife::OnDrained(TimePoint now) {
   if (state() == TargetState::kDraining) {
-    m_impl->Apply(TargetLifeEvent::kGone, "drained");
+    m_impl->HandleEvent(TargetLifeEvent::kGone, "drained");
   }
 }
 
@@ -228,19 +235,19 @@
   m_impl->last_call = now;
   const bool is_answered = result == RealResult::kAnswered;
   if (is_answered && state() == TargetState::kSuspect &&
-      !m_impl->is_suspected_by_real) {
-    m_impl->TryAgain(now);
+      !m_impl->is_suspected_by_requests) {
+    m_impl->Retry(now);
   }
   m_impl->evidence.OnReal(now, result, workspace);
   if (is_answered) {
     m_impl->cold_start.OnAnswered();
     if (state() == TargetState::kAnnounced) {
-      m_impl->Apply(TargetLifeEvent::kAnswers, "answered");
+      m_impl->HandleEvent(TargetLifeEvent::kAnswered, "answered");
     }
     m_impl->EndColdStart(now);
     return;
   }
-  if (m_impl->evidence.IsFailingReal(now)) {
+  if (m_impl->evidence.IsFailingRequests(now)) {
     m_impl->Suspect(now, true, "real_requests_fail");
   }
 }
@@ -253,7 +260,7 @@
     return;
   }
   if (is_healthy && state() == TargetState::kAnnounced) {
-    m_impl->Apply(TargetLifeEvent::kAnswers, "probe_healthy");
+    m_impl->HandleEvent(TargetLifeEvent::kAnswered, "probe_healthy");
   }
   if (m_impl->evidence.IsFailingProbes(now)) {
     m_impl->Suspect(now, false, "probes_fail");
@@ -262,11 +269,11 @@
 
 void TargetLife::OnTimer(TimePoint now) {
   m_impl->last_call = now;
-  if (state() == TargetState::kSuspect && now >= m_impl->TrialAt()) {
-    m_impl->TryAgain(now);
+  if (state() == TargetState::kSuspect && now >= m_impl->RetryAt()) {
+    m_impl->Retry(now);
   }
   if (state() == TargetState::kAnnounced && m_impl->cold_start.IsOver(now)) {
-    m_impl->Apply(TargetLifeEvent::kAnswers, "no_evidence");
+    m_impl->HandleEvent(TargetLifeEvent::kAnswered, "no_evidence");
   }
   m_impl->EndColdStart(now);
 }
@@ -274,7 +281,7 @@
 TimePoint TargetLife::NextWakeup() const {
   switch (state()) {
     case TargetState::kSuspect:
-      return m_impl->TrialAt();
+      return m_impl->RetryAt();
     case TargetState::kAnnounced:
     case TargetState::kWarming:
       return std::min(m_impl->cold_start.EndsAt(), m_impl->NeedChangesAt());
@@ -292,13 +299,13 @@
 }
 
 bool TargetLife::IsServing() const {
-  return m_impl->TakesWork();
+  return m_impl->AcceptsRequests();
 }
 
 double TargetLife::RampFactor(TimePoint now) const {
   switch (state()) {
     case TargetState::kAnnounced:
-      return ColdStart::kLeastFactor;
+      return ColdStart::kMinFactor;
     case TargetState::kWarming:
       return m_impl->cold_start.Factor(now);
     case TargetState::kServing:
@@ -318,11 +325,11 @@
     case TargetState::kAnnounced:
       return ProbeNeed::kWarming;
     case TargetState::kWarming:
-      return m_impl->evidence.IsObserved(now) ? ProbeNeed::kNone
-                                              : ProbeNeed::kWarming;
+      return m_impl->evidence.HasRecentAnswer(now) ? ProbeNeed::kNone
+                                                   : ProbeNeed::kWarming;
     case TargetState::kServing:
-      return m_impl->evidence.IsObserved(now) ? ProbeNeed::kNone
-                                              : ProbeNeed::kIdle;
+      return m_impl->evidence.HasRecentAnswer(now) ? ProbeNeed::kNone
+                                                   : ProbeNeed::kIdle;
     case TargetState::kGone:
     case TargetState::kDraining:
       break;
--- a/source/core/target_state/target_life.h
+++ b/source/core/target_state/target_life.h
@@ -1,6 +1,6 @@
-// The life of the target beside a node: announced, warming, serving, suspect,
-// draining, gone. It decides whether the target takes new work, and what the
-// node tells the fleet of it.
+// Lifecycle of a node's target: announced, warming, serving, suspect, draining,
+// gone. Its state determines whether the target gets new requests, and what the
+// node publishes about it.
 
 #ifndef BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_LIFE_H_
 #define BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_LIFE_H_
@@ -21,14 +21,15 @@
 
 enum class TargetState : std::uint8_t {
   kGone,
-  // Known, without a sign of life of its own; takes little new work.
+  // Announced, but without an answered request or healthy probe yet; gets few
+  // new requests.
   kAnnounced,
-  // Answers, and its cold start is not over.
+  // Answers, and is in its cold start.
   kWarming,
   kServing,
-  // Takes no new work until it is tried again.
+  // Gets no new requests until it is tried again.
   kSuspect,
-  // Takes no new work; what runs goes on.
+  // Gets no new requests; running ones continue.
   kDraining,
 };
 
@@ -38,24 +39,25 @@
   Duration warmup = std::chrono::seconds(10);
   std::uint32_t warm_answers = 50;
   EvidenceThresholds thresholds;
-  // A suspect is tried again after this time; doubled at each return to
-  // suspicion up to the longest.
+  // Time after which a suspect target is tried again; doubled each time that it
+  // becomes suspect again, up to the maximum.
   Duration shortest_suspicion = std::chrono::seconds(1);
   Duration longest_suspicion = std::chrono::seconds(30);
-  // The same if only one workspace's requests failed and no other's are known:
-  // the others must not be kept from the target for long by its doing.
-  Duration longest_suspicion_by_one = std::chrono::seconds(4);
-  // Announcements that fail to come in turn before the target is gone.
+  // Maximum if only one workspace's requests failed and there are no results of
+  // others, so that one workspace cannot keep the target from the others for
+  // long.
+  Duration longest_suspicion_by_one_workspace = std::chrono::seconds(4);
+  // Consecutive missed announcements after which the target is gone.
   std::uint32_t announcements_missed = 3;
 };
 
-// What a target says of itself.
+// Data that a target announces.
 struct TargetAnnouncement {
   ServiceName service;
   // Positive.
   std::uint32_t slots = 0;
   Incarnation incarnation;
-  // What is left of its cold start; empty: the settings' time.
+  // Remaining time of its cold start; empty for the time in the settings.
   std::optional<Duration> cold_time_left{};
 };
 
@@ -67,12 +69,12 @@
   TargetLife(const TargetLife&) = delete;
   TargetLife& operator=(const TargetLife&) = delete;
 
-  // A higher incarnation is a restarted target and starts anew. The same one
-  // is a heartbeat; it does not call back a target that drains. A lower one is
-  // late and ignored.
+  // A higher incarnation is a restarted target, whose lifecycle begins again.
+  // The same one is a heartbeat, which does not reopen a draining target. A
+  // lower one is late and ignored.
   void OnAnnounced(TimePoint now, const TargetAnnouncement& announcement);
 
-  // An announcement that was due did not come.
+  // A due announcement did not arrive.
   void OnAnnouncementMissed(TimePoint now);
 
   void OnWithdrawn(TimePoint now);
@@ -80,27 +82,27 @@
   // The last request of a draining target has ended.
   void OnDrained(TimePoint now);
 
-  // All its connections broke with requests in flight: it crashed.
+  // All connections of the target were lost with requests in flight: it
+  // crashed.
   void OnCrashed(TimePoint now);
 
-  // `workspace` sent the request.
+  // Handles the result of a real request of `workspace`.
   void OnReal(TimePoint now,
               RealResult result,
               const WorkspaceName& workspace = WorkspaceName());
 
-  // `is_healthy` is false also for a probe without an answer.
+  // `is_healthy` is also false for a probe without an answer.
   void OnProbe(TimePoint now, bool is_healthy);
 
-  // Call when `NextWakeup` has come.
+  // Call it at `NextWakeup`.
   void OnTimer(TimePoint now);
   TimePoint NextWakeup() const;
 
   TargetState state() const;
-  // Whether the owner may hand it new work. The owner refuses by this, so
-  // what others still believe does no harm.
+  // Whether the owner may start new requests on it. The owner enforces this, so
+  // outdated information on other nodes does no harm.
   bool IsServing() const;
-  // By which its share of picks and its slots are scaled; 0 if it takes no new
-  // work.
+  // Factor of its share of picks and its slots; 0 if it gets no new requests.
   double RampFactor(TimePoint now) const;
   ProbeNeed Need(TimePoint now) const;
   // Empty if there is no target.
--- a/source/core/target_state/target_life_machine.cc
+++ b/source/core/target_state/target_life_machine.cc
@@ -1,6 +1,6 @@
-// The machine in Boost.MSM.
+// Part of `target_lifecycle_machine.h`, with Boost.MSM.
 
-// Boost.MPL's vectors end at 20 elements unless told otherwise.
+// The default limit of Boost.MPL vectors is 20 elements.
 #define BOOST_MPL_CFG_NO_PREPROCESSED_HEADERS
 #define BOOST_MPL_LIMIT_VECTOR_SIZE 30
 
@@ -19,13 +19,13 @@
 
 // Events.
 struct Announced {};
-struct Answers {};
+struct Answered {};
 struct ColdStartOver {};
 struct Suspected {};
 struct Withdrawn {};
 struct GoneAway {};
 
-// A state that says, as it is entered, which one it is.
+// Stores its value in the machine when it is entered.
 template <TargetState kState>
 struct State : front::state<> {
   template <typename Event, typename Machine>
@@ -50,12 +50,12 @@
   using Row = front::Row<From, Event, To, front::none, front::none>;
 
   // clang-format off
-  // Boost.MSM looks for this name.
+  // Boost.MSM requires this name.
   // NOLINTNEXTLINE(readability-identifier-naming)
   struct transition_table : vector<
       Row<Gone,     Announced,     Known>,
       Row<Known,    Announced,     Known>,
-      Row<Known,    Answers,       Warming>,
+      Row<Known,    Answered,       Warming>,
       Row<Known,    Suspected,     Suspect>,
       Row<Known,    Withdrawn,     Draining>,
       Row<Known,    GoneAway,      Gone>,
@@ -69,7 +69,7 @@
       Row<Serving,  Withdrawn,     Draining>,
       Row<Serving,  GoneAway,      Gone>,
       Row<Suspect,  Announced,     Known>,
-      Row<Suspect,  Answers,       Warming>,
+      Row<Suspect,  Answered,       Warming>,
       Row<Suspect,  Withdrawn,     Draining>,
       Row<Suspect,  GoneAway,      Gone>,
       Row<Draining, Announced,     Known>,
@@ -100,8 +100,8 @@
     case TargetLifeEvent::kAnnounced:
       machine.process_event(Announced{});
       return;
-    case TargetLifeEvent::kAnswers:
-      machine.process_event(Answers{});
+    case TargetLifeEvent::kAnswered:
+      machine.process_event(Answered{});
       return;
     case TargetLifeEvent::kColdStartOver:
       machine.process_event(ColdStartOver{});
--- a/source/core/target_state/target_life_machine.h
+++ b/source/core/target_state/target_life_machine.h
@@ -1,5 +1,5 @@
-// The table of a target's states and events, kept apart from the evidence that
-// raises them. It holds no data.
+// State machine of a target's lifecycle. It holds no data but the state; the
+// evidence that raises its events is kept apart.
 
 #ifndef BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_LIFE_MACHINE_H_
 #define BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_LIFE_MACHINE_H_
@@ -14,12 +14,13 @@
 enum class TargetLifeEvent : std::uint8_t {
   // A new incarnation.
   kAnnounced,
-  // First sign of life, or a suspect is tried again.
-  kAnswers,
+  // First answered request or healthy probe, or a suspect target is tried
+  // again.
+  kAnswered,
   kColdStartOver,
   kSuspected,
   kWithdrawn,
-  // Its last request ended, or it has not been heard of for too long.
+  // Its last request ended, or too many announcements were missed.
   kGone,
 };
 
@@ -31,8 +32,8 @@
   TargetLifeMachine(const TargetLifeMachine&) = delete;
   TargetLifeMachine& operator=(const TargetLifeMachine&) = delete;
 
-  // An event that means nothing in the state is ignored: targets say what they
-  // like at any time.
+  // Ignores events that do not apply in the current state, since targets may
+  // send any report at any time.
   void Handle(TargetLifeEvent event);
 
   TargetState state() const;
--- a/source/core/target_state/target_speed.h
+++ b/source/core/target_state/target_speed.h
@@ -1,5 +1,5 @@
-// How fast the target beside the node works, by its own word: others on its
-// machine take their part of it, and that changes many times a second.
+// Last reported slowdown of the node's target. Interference by other processes
+// on its machine changes it many times a second.
 
 #ifndef BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_SPEED_H_
 #define BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_SPEED_H_
@@ -18,17 +18,17 @@
     m_reported_at = now;
   }
 
-  // Another target has taken the place.
+  // Clears the report when another target replaces this one.
   void Forget() { m_sample.reset(); }
 
-  // Whether the target tells its speed at all.
+  // Whether the target has reported its speed.
   bool is_reported() const { return m_sample.has_value(); }
 
-  // As last told, as a multiple of the usual time; 1 if it never was.
+  // Last report, as a multiple of the normal service time; 1 without a report.
   double slowdown() const { return m_sample ? m_sample->slowdown : 1.0; }
 
   TimePoint reported_at() const { return m_reported_at; }
-  // Of that word; zero if there is none.
+  // Age of the last report; zero without one.
   Duration AgeAt(TimePoint now) const {
     return m_sample ? now - m_reported_at : Duration::zero();
   }
--- a/source/unit_tests/core/target_state/cold_start_test.cc
+++ b/source/unit_tests/core/target_state/cold_start_test.cc
@@ -1,4 +1,4 @@
-// The ramp of a cold start.
+// Tests of `core/target_state/cold_start.h`.
 
 #include "core/target_state/cold_start.h"
 
@@ -49,7 +49,7 @@
                     RampCase{"TwiceTheTime", seconds(20), 0, 1.0}),
     [](const auto& info) { return info.param.name; });
 
-RC_GTEST_PROP(ColdStart, NeverFalls, ()) {
+RC_GTEST_PROP(ColdStart, NeverDecreases, ()) {
   ColdStart cold_start(kBegin, kWarmup, kWarmAnswers);
   TimePoint now = kBegin;
   double last = 0;
@@ -62,7 +62,7 @@
     }
     const double factor = cold_start.Factor(now);
     RC_ASSERT(factor >= last);
-    RC_ASSERT(factor >= ColdStart::kLeastFactor && factor <= 1.0);
+    RC_ASSERT(factor >= ColdStart::kMinFactor && factor <= 1.0);
     last = factor;
   }
 }
--- a/source/unit_tests/core/target_state/target_gate_test.cc
+++ b/source/unit_tests/core/target_state/target_gate_test.cc
@@ -1,5 +1,5 @@
-// The gate of targets that are known by an id: which words open it, and that
-// none opens it again for a target that has said it leaves.
+// Tests of `core/target_state/target_gate.h`: which heartbeats open the gate,
+// and that none reopens it for a target that drains or has left.
 
 #include "core/target_state/target_gate.h"
 
@@ -49,20 +49,19 @@
   TargetGate m_gate;
 };
 
-TEST_F(TargetGateTest, AFirstWordIsConfirmedByTheTargetsOwnHealth) {
+TEST_F(TargetGateTest, FirstHeartbeatIsConfirmedByTheHealthEndpoint) {
   EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 1)), GateVerdict::kProbe);
   EXPECT_FALSE(m_gate.current());
   EXPECT_EQ(m_gate.OnProbe(InstanceId("a"), true), GateVerdict::kOpen);
   EXPECT_TRUE(IsOpenFor("a"));
 }
 
-// Symptom: requests begin on a target although its leaving was acknowledged
-// seconds ago. Sequence: the target reports that it drains; the node
-// acknowledges and is killed; its successor gets a "ready" of before that was
-// held up on the way. Cause: a node that knows nothing believes the first word.
-TEST_F(TargetGateTest, ALateWordAfterARestartOpensNothing) {
+// Guards against requests that start on a target seconds after its drain was
+// acknowledged: the node acknowledges and is killed, and its next process
+// receives a delayed "ready" heartbeat from before the drain.
+TEST_F(TargetGateTest, LateHeartbeatAfterARestartOpensNothing) {
   EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 7)), GateVerdict::kProbe);
-  // It drains, so its health endpoint says no.
+  // It drains, so its health endpoint reports unhealthy.
   EXPECT_EQ(m_gate.OnProbe(InstanceId("a"), false), GateVerdict::kNone);
   EXPECT_FALSE(m_gate.current());
   m_gate.OnHeartbeat(m_now, Draining("a", 9));
@@ -71,94 +70,93 @@
   EXPECT_FALSE(m_gate.current());
 }
 
-// Symptom: a sound target gets no work. Sequence: the node restarts; the
-// target's health endpoint wrongly says that it is ill. Cause: only the probe
-// could open the gate.
-TEST_F(TargetGateTest, ASecondNewerWordOpensWithoutTheProbe) {
+// Guards against a healthy target that gets no requests after the node restarts
+// because its health endpoint wrongly reports unhealthy, and only a probe could
+// open the gate.
+TEST_F(TargetGateTest, SecondNewerHeartbeatOpensWithoutTheProbe) {
   m_gate.OnHeartbeat(m_now, Ready("a", 3));
   m_gate.OnProbe(InstanceId("a"), false);
   EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 4)), GateVerdict::kOpen);
   EXPECT_TRUE(IsOpenFor("a"));
 }
 
-TEST_F(TargetGateTest, TheSameWordTwiceIsNotASecondOne) {
+TEST_F(TargetGateTest, DuplicateHeartbeatIsNoConfirmation) {
   m_gate.OnHeartbeat(m_now, Ready("a", 3));
   EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 3)), GateVerdict::kNone);
   EXPECT_FALSE(m_gate.current());
 }
 
-TEST_F(TargetGateTest, DrainingClosesAtOnceHoweverOldTheWord) {
+TEST_F(TargetGateTest, LateDrainingHeartbeatClosesAtOnce) {
   OpenFor("a", 5);
   EXPECT_EQ(m_gate.OnHeartbeat(m_now, Draining("a", 4)), GateVerdict::kClose);
   EXPECT_FALSE(m_gate.current());
 }
 
-// Symptom: calls go to a target that is gone and fail. Sequence: a target
-// crashes with a heartbeat under way; its successor opens the gate; then the
-// old heartbeat arrives. Cause: the newest arrival is taken for the newest
-// target.
-TEST_F(TargetGateTest, ALateWordOfAPredecessorDoesNotReplaceItsSuccessor) {
+// Guards against calls to a target that is gone: it crashes with a heartbeat in
+// transit, its successor opens the gate, and then the old heartbeat arrives.
+TEST_F(TargetGateTest, LateHeartbeatOfAPredecessorDoesNotReplaceItsSuccessor) {
   OpenFor("b", 1);
   EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 90)), GateVerdict::kProbe);
   EXPECT_TRUE(IsOpenFor("b"));
-  // Who answers at the address is the successor.
+  // The successor answers at the address.
   EXPECT_EQ(m_gate.OnProbe(InstanceId("b"), true), GateVerdict::kNone);
   EXPECT_TRUE(IsOpenFor("b"));
   EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 91)), GateVerdict::kNone);
 }
 
-TEST_F(TargetGateTest, ASuccessorReplacesItsPredecessorForGood) {
+TEST_F(TargetGateTest, SuccessorReplacesItsPredecessorPermanently) {
   OpenFor("a", 5);
   OpenFor("b", 1);
   EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 6)), GateVerdict::kNone);
   EXPECT_TRUE(IsOpenFor("b"));
 }
 
-TEST_F(TargetGateTest, ADepartedTargetStaysAway) {
+TEST_F(TargetGateTest, DepartedTargetStaysClosed) {
   OpenFor("a", 5);
   EXPECT_EQ(m_gate.OnDeparted(InstanceId("a")), GateVerdict::kClose);
   EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 6)), GateVerdict::kNone);
   EXPECT_FALSE(m_gate.current());
 }
 
-// --- Targets that start again under their id --------------------------------
+// --- Targets that restart under the same id
+// -----------------------------------
 
-TargetHeartbeat Of(int process, TargetHeartbeat heartbeat) {
+TargetHeartbeat WithProcess(int process, TargetHeartbeat heartbeat) {
   heartbeat.started = ProcessStart(std::chrono::milliseconds(process));
   return heartbeat;
 }
 
-// Symptom: a target gets no work for good. Sequence: it crashes and starts
-// again under its id; its heartbeats count from 1 again. Cause: they were taken
-// for late words of before.
-TEST_F(TargetGateTest, AProcessThatStartedAgainOpensAnew) {
-  m_gate.OnHeartbeat(m_now, Of(1, Ready("a", 70)));
+// Guards against a target that never gets requests again after it crashed and
+// restarted under the same id: its sequence numbers start at 1 again and must
+// not count as late.
+TEST_F(TargetGateTest, RestartedProcessOpensAgain) {
+  m_gate.OnHeartbeat(m_now, WithProcess(1, Ready("a", 70)));
   m_gate.OnProbe(InstanceId("a"), true);
   ASSERT_TRUE(IsOpenFor("a"));
-  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Of(2, Ready("a", 1))),
+  EXPECT_EQ(m_gate.OnHeartbeat(m_now, WithProcess(2, Ready("a", 1))),
             GateVerdict::kProbe);
   EXPECT_EQ(m_gate.OnProbe(InstanceId("a"), true), GateVerdict::kOpen);
   EXPECT_EQ(m_gate.current()->sequence, 1U);
 }
 
-// A drain binds the process that said it, and no later one.
-TEST_F(TargetGateTest, AProcessAfterOneThatDrainedOpens) {
-  m_gate.OnHeartbeat(m_now, Of(1, Draining("a", 9)));
-  m_gate.OnHeartbeat(m_now, Of(2, Ready("a", 1)));
-  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Of(2, Ready("a", 2))),
+// A drain applies to the process that reported it, and to no later one.
+TEST_F(TargetGateTest, ProcessAfterADrainedOneOpens) {
+  m_gate.OnHeartbeat(m_now, WithProcess(1, Draining("a", 9)));
+  m_gate.OnHeartbeat(m_now, WithProcess(2, Ready("a", 1)));
+  EXPECT_EQ(m_gate.OnHeartbeat(m_now, WithProcess(2, Ready("a", 2))),
             GateVerdict::kOpen);
-  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Of(1, Ready("a", 99))),
+  EXPECT_EQ(m_gate.OnHeartbeat(m_now, WithProcess(1, Ready("a", 99))),
             GateVerdict::kNone);
   EXPECT_TRUE(IsOpenFor("a"));
 }
 
-// Symptom: a sound target is closed for good. Sequence: it drains, exits and is
-// started again under its id; its last words of before arrive late. Cause: they
-// were taken for the new process's.
-TEST_F(TargetGateTest, LateWordsOfAnEarlierProcessCloseNothing) {
-  m_gate.OnHeartbeat(m_now, Of(2, Ready("a", 1)));
+// Guards against closing a healthy target that drained, exited and restarted
+// under the same id, when the last heartbeats of its earlier process arrive
+// late.
+TEST_F(TargetGateTest, LateHeartbeatsOfAnEarlierProcessCloseNothing) {
+  m_gate.OnHeartbeat(m_now, WithProcess(2, Ready("a", 1)));
   m_gate.OnProbe(InstanceId("a"), true);
-  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Of(1, Draining("a", 50))),
+  EXPECT_EQ(m_gate.OnHeartbeat(m_now, WithProcess(1, Draining("a", 50))),
             GateVerdict::kNone);
   EXPECT_EQ(m_gate.OnDeparted(InstanceId("a"),
                               ProcessStart(std::chrono::milliseconds(1))),
@@ -169,53 +167,54 @@
             GateVerdict::kClose);
 }
 
-// Symptom: a target that has said it leaves gets work. Sequence: a later
-// process of it reports and is not yet confirmed; then the drain of the one in
-// place arrives. Cause: the words of earlier processes were passed over,
-// although the gate was open for one.
-TEST_F(TargetGateTest, DrainOfTheProcessInPlaceClosesUntilTheNextIsConfirmed) {
-  m_gate.OnHeartbeat(m_now, Of(2, Ready("a", 1)));
-  m_gate.OnHeartbeat(m_now, Of(2, Ready("a", 2)));
+// Guards against requests to a draining target: a later process of it has
+// reported but is not confirmed yet, and the drain of the current process must
+// not be ignored as one of an earlier process.
+TEST_F(TargetGateTest, DrainOfTheCurrentProcessClosesUntilTheNextIsConfirmed) {
+  m_gate.OnHeartbeat(m_now, WithProcess(2, Ready("a", 1)));
+  m_gate.OnHeartbeat(m_now, WithProcess(2, Ready("a", 2)));
   ASSERT_TRUE(IsOpenFor("a"));
-  m_gate.OnHeartbeat(m_now, Of(3, Ready("a", 1)));
-  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Of(2, Draining("a", 3))),
+  m_gate.OnHeartbeat(m_now, WithProcess(3, Ready("a", 1)));
+  EXPECT_EQ(m_gate.OnHeartbeat(m_now, WithProcess(2, Draining("a", 3))),
             GateVerdict::kClose);
   EXPECT_FALSE(m_gate.current());
-  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Of(3, Ready("a", 2))),
+  EXPECT_EQ(m_gate.OnHeartbeat(m_now, WithProcess(3, Ready("a", 2))),
             GateVerdict::kOpen);
 }
 
-// A naive gate that sees the words of one target in their true order: it knows
-// which process is the newest of which it has heard, and whether that has said
-// that it drains. Ours hears them in any order, and must never be open for a
-// process that has, nor for one that was followed by another.
-RC_GTEST_PROP(TargetGateProperty, ProcessesOfOneIdAgreeWithTrueTime, ()) {
+// Compares with a naive gate that receives the heartbeats of one target in
+// order: it knows the newest process and whether that drains. The tested gate
+// receives them in any order, and must never be open for a process that drains
+// or has left, nor for one that was followed by another.
+RC_GTEST_PROP(TargetGateProperty, MatchesTheTrueOrderOfProcesses, ()) {
   TargetGate gate;
   const InstanceId instance("a");
   int newest = 0;
   std::set<int> closed;
-  std::map<int, std::set<std::uint64_t>> ready_words;
+  std::map<int, std::set<std::uint64_t>> ready_sequences;
   const auto steps = *rc::gen::inRange(1, 80);
   for (int step = 0; step < steps; ++step) {
     const int process = *rc::gen::inRange(1, 5);
     const auto sequence = static_cast<std::uint64_t>(*rc::gen::inRange(1, 12));
     const auto what = *rc::gen::inRange(0, 8);
-    const bool is_news = process >= newest;
+    const bool is_newest_process = process >= newest;
     newest = std::max(newest, process);
     if (what == 0) {
-      gate.OnHeartbeat(TimePoint(), Of(process, Draining("a", sequence)));
+      gate.OnHeartbeat(TimePoint(),
+                       WithProcess(process, Draining("a", sequence)));
       closed.insert(process);
     } else if (what == 1) {
       gate.OnDeparted(instance,
                       ProcessStart(std::chrono::milliseconds(process)));
       closed.insert(process);
     } else {
-      auto& words = ready_words[process];
+      auto& sequences = ready_sequences[process];
       const bool is_newer =
-          is_news && (words.empty() || sequence > *words.rbegin());
-      gate.OnHeartbeat(TimePoint(), Of(process, Ready("a", sequence)));
+          is_newest_process &&
+          (sequences.empty() || sequence > *sequences.rbegin());
+      gate.OnHeartbeat(TimePoint(), WithProcess(process, Ready("a", sequence)));
       if (is_newer)
-        words.insert(sequence);
+        sequences.insert(sequence);
     }
     const std::optional<TargetHeartbeat>& current = gate.current();
     if (current) {
@@ -223,8 +222,9 @@
           static_cast<int>(current->started->time_since_epoch().count());
       RC_ASSERT(!closed.contains(open));
     }
-    // Two words in their order and none of leaving: it is open, and for that.
-    if (ready_words[newest].size() >= 2 && !closed.contains(newest)) {
+    // After two heartbeats in order and no departure, the gate is open for that
+    // process.
+    if (ready_sequences[newest].size() >= 2 && !closed.contains(newest)) {
       RC_ASSERT(current.has_value());
       RC_ASSERT(current->started ==
                 ProcessStart(std::chrono::milliseconds(newest)));
@@ -232,7 +232,8 @@
   }
 }
 
-// Whatever comes in whatever order: what has drained or departed never opens.
+// For any order of events, a target that has drained or departed never opens
+// the gate.
 RC_GTEST_PROP(TargetGateProperty, ClosedTargetsStayClosed, ()) {
   TargetGate gate;
   const std::vector<std::string> names = {"a", "b", "c"};
