--- a/source/benchmarks/policy_run.h
+++ b/source/benchmarks/policy_run.h
@@ -71,7 +71,7 @@
     std::optional<TimePoint> timer;
     bool is_drained = false;
     // With probes in the scenario only.
-    std::unique_ptr<TargetLife> life;
+    std::unique_ptr<TargetLifecycle> life;
     std::optional<TimePoint> life_timer;
     // As the entries were last told.
     bool is_reported_serving = true;
--- a/source/benchmarks/policy_workload.h
+++ b/source/benchmarks/policy_workload.h
@@ -57,7 +57,7 @@
   // The load endpoint of a struck target says that it is idle.
   bool is_lying = false;
   // Probes a second of each target; with a value, even 0, each target has a
-  // TargetLife that says whether it serves.
+  // TargetLifecycle that says whether it serves.
   std::optional<double> probes{};
 };
 
--- a/source/core/measuring/probe_scheduler.h
+++ b/source/core/measuring/probe_scheduler.h
@@ -49,7 +49,8 @@
 
   void OnFleetSize(const FleetSize& size);
 
-  // From `TargetLife::Need`, after each event and timer of the target's life.
+  // From `TargetLifecycle::Need`, after each event and timer of the target's
+  // life.
   void OnNeed(TimePoint now, ProbeNeed need);
 
   // Call when `NextWakeup` has come.
--- a/source/core/node_logic/owner_side.h
+++ b/source/core/node_logic/owner_side.h
@@ -77,7 +77,7 @@
   TimePoint NextWakeup() const;
 
   bool is_leaving() const { return m_is_leaving; }
-  const TargetLife& life() const { return m_life; }
+  const TargetLifecycle& life() const { return m_life; }
   LoadReport LoadAt(TimePoint now) const;
   // Where the target is reached; empty before its first announcement.
   const std::optional<Endpoint>& endpoint() const { return m_endpoint; }
@@ -138,7 +138,7 @@
   Quarantine& m_quarantine;
   TrafficMetrics& m_metrics;
   ActionSink& m_actions;
-  TargetLife m_life;
+  TargetLifecycle m_life;
   ColdStartLimiter m_cold_starts;
   Admission m_admission;
   std::unordered_map<WorkId, OwnedWork> m_works;
--- a/source/core/target_state/target_life.cc
+++ b/source/core/target_state/target_life.cc
@@ -39,7 +39,7 @@
   return "unknown";
 }
 
-struct TargetLife::Impl {
+struct TargetLifecycle::Impl {
   explicit Impl(const TargetLifeSettings& life_settings)
       : settings(life_settings),
         evidence(life_settings.thresholds),
@@ -75,8 +75,8 @@
   bool is_probe_healthy_since = false;
 };
 
-void TargetLife::Impl::HandleEvent(TargetLifeEvent event,
-                                   std::string_view cause) {
+void TargetLifecycle::Impl::HandleEvent(TargetLifeEvent event,
+                                        std::string_view cause) {
   const TargetState before = machine.state();
   machine.Handle(event);
   if (machine.state() == before) {
@@ -90,15 +90,15 @@
 
 // A target that announces how long it stays cold is warm after that time,
 // regardless of its answers.
-ColdStart TargetLife::Impl::NewColdStart(TimePoint now) const {
+ColdStart TargetLifecycle::Impl::NewColdStart(TimePoint now) const {
   if (!announcement || !announcement->cold_time_left)
     return ColdStart(now, settings.warmup, settings.warm_answers);
   return ColdStart(now, std::max(*announcement->cold_time_left, kMinColdStart),
                    0);
 }
 
-void TargetLife::Impl::StartLifecycle(TimePoint now,
-                                      const TargetAnnouncement& next) {
+void TargetLifecycle::Impl::StartLifecycle(TimePoint now,
+                                           const TargetAnnouncement& next) {
   announcement = next;
   announcements_missed = 0;
   evidence = TargetEvidence(settings.thresholds);
@@ -107,9 +107,9 @@
   HandleEvent(TargetLifeEvent::kAnnounced, "announced");
 }
 
-void TargetLife::Impl::Suspect(TimePoint now,
-                               bool by_requests,
-                               std::string_view cause) {
+void TargetLifecycle::Impl::Suspect(TimePoint now,
+                                    bool by_requests,
+                                    std::string_view cause) {
   if (machine.state() == TargetState::kSuspect) {
     is_suspected_by_requests = is_suspected_by_requests || by_requests;
     return;
@@ -125,7 +125,7 @@
 
 // After failed requests the target goes through its cold start again, so that
 // it gets few requests until some are answered.
-void TargetLife::Impl::Retry(TimePoint now) {
+void TargetLifecycle::Impl::Retry(TimePoint now) {
   const Duration longest = evidence.IsFromOneWorkspace(now)
                                ? settings.longest_suspicion_by_one_workspace
                                : settings.longest_suspicion;
@@ -138,7 +138,7 @@
   HandleEvent(TargetLifeEvent::kAnswered, "tried_again");
 }
 
-void TargetLife::Impl::EndColdStart(TimePoint now) {
+void TargetLifecycle::Impl::EndColdStart(TimePoint now) {
   if (machine.state() != TargetState::kWarming || !cold_start.IsOver(now)) {
     return;
   }
@@ -148,7 +148,7 @@
   HandleEvent(TargetLifeEvent::kColdStartOver, "warm");
 }
 
-bool TargetLife::Impl::AcceptsRequests() const {
+bool TargetLifecycle::Impl::AcceptsRequests() const {
   const TargetState state = machine.state();
   return state == TargetState::kAnnounced || state == TargetState::kWarming ||
          state == TargetState::kServing;
@@ -158,7 +158,7 @@
 // that is based on requests once its time is over. Without a healthy probe the
 // suspicion ends after twice its time, since the measuring budget may be used
 // up or the health endpoint may be wrong.
-TimePoint TargetLife::Impl::RetryAt() const {
+TimePoint TargetLifecycle::Impl::RetryAt() const {
   if (is_probe_healthy_since) {
     return is_suspected_by_requests ? suspected_at + suspicion_duration
                                     : suspected_at;
@@ -167,18 +167,18 @@
 }
 
 // Time at which there is no recent answer any more and probes are needed.
-TimePoint TargetLife::Impl::NeedChangesAt() const {
+TimePoint TargetLifecycle::Impl::NeedChangesAt() const {
   const std::optional<TimePoint> until = evidence.RecentAnswerUntil();
   return until && *until > last_call ? *until : TimePoint::max();
 }
 
-TargetLife::TargetLife(const TargetLifeSettings& settings)
+TargetLifecycle::TargetLifecycle(const TargetLifeSettings& settings)
     : m_impl(std::make_unique<Impl>(settings)) {}
 
-TargetLife::~TargetLife() = default;
+TargetLifecycle::~TargetLifecycle() = default;
 
-void TargetLife::OnAnnounced(TimePoint now,
-                             const TargetAnnouncement& announcement) {
+void TargetLifecycle::OnAnnounced(TimePoint now,
+                                  const TargetAnnouncement& announcement) {
   const auto& known = m_impl->announcement;
   if (!known || announcement.incarnation > known->incarnation) {
     m_impl->StartLifecycle(now, announcement);
@@ -199,7 +199,7 @@
   m_impl->announcement = announcement;
 }
 
-void TargetLife::OnAnnouncementMissed(TimePoint now) {
+void TargetLifecycle::OnAnnouncementMissed(TimePoint now) {
   if (state() == TargetState::kGone || state() == TargetState::kDraining) {
     return;
   }
@@ -214,24 +214,24 @@
   m_impl->Suspect(now, false, "announcement_missed");
 }
 
-void TargetLife::OnWithdrawn(TimePoint now) {
+void TargetLifecycle::OnWithdrawn(TimePoint now) {
   m_impl->announcements_missed = 0;
   m_impl->HandleEvent(TargetLifeEvent::kWithdrawn, "withdrawn");
 }
 
-void TargetLife::OnDrained(TimePoint now) {
+void TargetLifecycle::OnDrained(TimePoint now) {
   if (state() == TargetState::kDraining) {
     m_impl->HandleEvent(TargetLifeEvent::kGone, "drained");
   }
 }
 
-void TargetLife::OnCrashed(TimePoint now) {
+void TargetLifecycle::OnCrashed(TimePoint now) {
   m_impl->Suspect(now, true, "crashed");
 }
 
-void TargetLife::OnReal(TimePoint now,
-                        RealResult result,
-                        const WorkspaceName& workspace) {
+void TargetLifecycle::OnReal(TimePoint now,
+                             RealResult result,
+                             const WorkspaceName& workspace) {
   m_impl->last_call = now;
   const bool is_answered = result == RealResult::kAnswered;
   if (is_answered && state() == TargetState::kSuspect &&
@@ -252,7 +252,7 @@
   }
 }
 
-void TargetLife::OnProbe(TimePoint now, bool is_healthy) {
+void TargetLifecycle::OnProbe(TimePoint now, bool is_healthy) {
   m_impl->evidence.OnProbe(is_healthy);
   if (state() == TargetState::kSuspect) {
     m_impl->is_probe_healthy_since = is_healthy;
@@ -267,7 +267,7 @@
   }
 }
 
-void TargetLife::OnTimer(TimePoint now) {
+void TargetLifecycle::OnTimer(TimePoint now) {
   m_impl->last_call = now;
   if (state() == TargetState::kSuspect && now >= m_impl->RetryAt()) {
     m_impl->Retry(now);
@@ -278,7 +278,7 @@
   m_impl->EndColdStart(now);
 }
 
-TimePoint TargetLife::NextWakeup() const {
+TimePoint TargetLifecycle::NextWakeup() const {
   switch (state()) {
     case TargetState::kSuspect:
       return m_impl->RetryAt();
@@ -294,15 +294,15 @@
   return TimePoint::max();
 }
 
-TargetState TargetLife::state() const {
+TargetState TargetLifecycle::state() const {
   return m_impl->machine.state();
 }
 
-bool TargetLife::IsServing() const {
+bool TargetLifecycle::IsServing() const {
   return m_impl->AcceptsRequests();
 }
 
-double TargetLife::RampFactor(TimePoint now) const {
+double TargetLifecycle::RampFactor(TimePoint now) const {
   switch (state()) {
     case TargetState::kAnnounced:
       return ColdStart::kMinFactor;
@@ -318,7 +318,7 @@
   return 0.0;
 }
 
-ProbeNeed TargetLife::Need(TimePoint now) const {
+ProbeNeed TargetLifecycle::Need(TimePoint now) const {
   switch (state()) {
     case TargetState::kSuspect:
       return ProbeNeed::kSuspect;
@@ -337,7 +337,7 @@
   return ProbeNeed::kNone;
 }
 
-std::optional<TargetSummary> TargetLife::Summary() const {
+std::optional<TargetSummary> TargetLifecycle::Summary() const {
   if (state() == TargetState::kGone) {
     return std::nullopt;
   }
--- a/source/core/target_state/target_life.h
+++ b/source/core/target_state/target_life.h
@@ -61,13 +61,13 @@
   std::optional<Duration> cold_time_left{};
 };
 
-class TargetLife {
+class TargetLifecycle {
  public:
-  explicit TargetLife(const TargetLifeSettings& settings);
-  ~TargetLife();
+  explicit TargetLifecycle(const TargetLifeSettings& settings);
+  ~TargetLifecycle();
 
-  TargetLife(const TargetLife&) = delete;
-  TargetLife& operator=(const TargetLife&) = delete;
+  TargetLifecycle(const TargetLifecycle&) = delete;
+  TargetLifecycle& operator=(const TargetLifecycle&) = delete;
 
   // A higher incarnation is a restarted target, whose lifecycle begins again.
   // The same one is a heartbeat, which does not reopen a draining target. A
--- a/source/unit_tests/core/target_state/target_life_test.cc
+++ b/source/unit_tests/core/target_state/target_life_test.cc
@@ -33,7 +33,7 @@
     }
   }
 
-  const TargetLife& lifecycle() const { return m_lifecycle; }
+  const TargetLifecycle& lifecycle() const { return m_lifecycle; }
   TimePoint now() const { return m_now; }
 
  private:
@@ -107,7 +107,7 @@
     }
   }
 
-  TargetLife m_lifecycle;
+  TargetLifecycle m_lifecycle;
   TimePoint m_now{std::chrono::hours(1)};
   Incarnation m_incarnation{0};
 };
@@ -128,7 +128,7 @@
 TEST_P(LifecycleTest, EndsInState) {
   Script script;
   script.Run(GetParam().events);
-  const TargetLife& lifecycle = script.lifecycle();
+  const TargetLifecycle& lifecycle = script.lifecycle();
   EXPECT_EQ(ToToken(lifecycle.state()), ToToken(GetParam().state))
       << GetParam().symptom;
   EXPECT_EQ(lifecycle.Need(script.now()), GetParam().need);
