--- a/source/benchmarks/policy_control.cc
+++ b/source/benchmarks/policy_control.cc
@@ -56,7 +56,7 @@
     return;
   for (std::size_t index = 0; index < m_targets.size(); ++index) {
     Target& target = m_targets[index];
-    target.life = std::make_unique<TargetLifecycle>(TargetLifeSettings{});
+    target.life = std::make_unique<TargetLifecycle>(TargetLifecycleSettings{});
     target.life->OnAnnounced(m_now, {kService, m_shape.slots, Incarnation(1)});
     At(m_now + kLifeStep, [this, index] { StepLife(index); });
     if (*m_scenario.probes > 0)
--- a/source/core/node_logic/owner_policies.cc
+++ b/source/core/node_logic/owner_policies.cc
@@ -53,8 +53,8 @@
   return admission;
 }
 
-TargetLifeSettings LifeSettingsOf(const NodeSettings& settings) {
-  TargetLifeSettings life;
+TargetLifecycleSettings LifeSettingsOf(const NodeSettings& settings) {
+  TargetLifecycleSettings life;
   life.warmup = settings.warmup;
   if (settings.do_entries_judge_errors) {
     life.thresholds = OnlyRefusedConnections();
--- a/source/core/node_logic/owner_policies.h
+++ b/source/core/node_logic/owner_policies.h
@@ -21,7 +21,7 @@
 AdmissionSettings AdmissionSettingsOf(const NodeSettings& settings);
 
 // What takes the target out of service, and for how long.
-TargetLifeSettings LifeSettingsOf(const NodeSettings& settings);
+TargetLifecycleSettings LifeSettingsOf(const NodeSettings& settings);
 
 }  // namespace bulrushmount::detail
 
--- a/source/core/target_state/target_life.cc
+++ b/source/core/target_state/target_life.cc
@@ -40,7 +40,7 @@
 }
 
 struct TargetLifecycle::Impl {
-  explicit Impl(const TargetLifeSettings& life_settings)
+  explicit Impl(const TargetLifecycleSettings& life_settings)
       : settings(life_settings),
         evidence(life_settings.thresholds),
         cold_start(TimePoint(),
@@ -58,7 +58,7 @@
   TimePoint RetryAt() const;
   TimePoint NeedChangesAt() const;
 
-  TargetLifeSettings settings;
+  TargetLifecycleSettings settings;
   TargetLifeMachine machine;
   TargetEvidence evidence;
   TimePoint last_call;
@@ -172,7 +172,7 @@
   return until && *until > last_call ? *until : TimePoint::max();
 }
 
-TargetLifecycle::TargetLifecycle(const TargetLifeSettings& settings)
+TargetLifecycle::TargetLifecycle(const TargetLifecycleSettings& settings)
     : m_impl(std::make_unique<Impl>(settings)) {}
 
 TargetLifecycle::~TargetLifecycle() = default;
--- a/source/core/target_state/target_life.h
+++ b/source/core/target_state/target_life.h
@@ -35,7 +35,7 @@
 
 std::string_view ToToken(TargetState state);
 
-struct TargetLifeSettings {
+struct TargetLifecycleSettings {
   Duration warmup = std::chrono::seconds(10);
   std::uint32_t warm_answers = 50;
   EvidenceThresholds thresholds;
@@ -63,7 +63,7 @@
 
 class TargetLifecycle {
  public:
-  explicit TargetLifecycle(const TargetLifeSettings& settings);
+  explicit TargetLifecycle(const TargetLifecycleSettings& settings);
   ~TargetLifecycle();
 
   TargetLifecycle(const TargetLifecycle&) = delete;
--- a/source/unit_tests/core/target_state/target_life_test.cc
+++ b/source/unit_tests/core/target_state/target_life_test.cc
@@ -24,7 +24,7 @@
 //   t 1 s passes   T 25 s pass
 class Script {
  public:
-  Script() : m_lifecycle(TargetLifeSettings()) {}
+  Script() : m_lifecycle(TargetLifecycleSettings()) {}
 
   void Run(const std::string& events) {
     for (const char event : events) {
