--- a/source/core/target_state/target_life.cc
+++ b/source/core/target_state/target_life.cc
@@ -10,8 +10,8 @@
 
 namespace bulrushmount {
 
+using detail::TargetLifecycleMachine;
 using detail::TargetLifeEvent;
-using detail::TargetLifeMachine;
 
 namespace {
 
@@ -59,7 +59,7 @@
   TimePoint NeedChangesAt() const;
 
   TargetLifecycleSettings settings;
-  TargetLifeMachine machine;
+  TargetLifecycleMachine machine;
   TargetEvidence evidence;
   TimePoint last_call;
   ColdStart cold_start;
--- a/source/core/target_state/target_life_machine.cc
+++ b/source/core/target_state/target_life_machine.cc
@@ -84,17 +84,18 @@
 
 }  // namespace
 
-struct TargetLifeMachine::Impl {
+struct TargetLifecycleMachine::Impl {
   Machine machine;
 };
 
-TargetLifeMachine::TargetLifeMachine() : m_impl(std::make_unique<Impl>()) {
+TargetLifecycleMachine::TargetLifecycleMachine()
+    : m_impl(std::make_unique<Impl>()) {
   m_impl->machine.start();
 }
 
-TargetLifeMachine::~TargetLifeMachine() = default;
+TargetLifecycleMachine::~TargetLifecycleMachine() = default;
 
-void TargetLifeMachine::Handle(TargetLifeEvent event) {
+void TargetLifecycleMachine::Handle(TargetLifeEvent event) {
   Machine& machine = m_impl->machine;
   switch (event) {
     case TargetLifeEvent::kAnnounced:
@@ -118,7 +119,7 @@
   }
 }
 
-TargetState TargetLifeMachine::state() const {
+TargetState TargetLifecycleMachine::state() const {
   return m_impl->machine.current;
 }
 
--- a/source/core/target_state/target_life_machine.h
+++ b/source/core/target_state/target_life_machine.h
@@ -24,13 +24,13 @@
   kGone,
 };
 
-class TargetLifeMachine {
+class TargetLifecycleMachine {
  public:
-  TargetLifeMachine();
-  ~TargetLifeMachine();
+  TargetLifecycleMachine();
+  ~TargetLifecycleMachine();
 
-  TargetLifeMachine(const TargetLifeMachine&) = delete;
-  TargetLifeMachine& operator=(const TargetLifeMachine&) = delete;
+  TargetLifecycleMachine(const TargetLifecycleMachine&) = delete;
+  TargetLifecycleMachine& operator=(const TargetLifecycleMachine&) = delete;
 
   // Ignores events that do not apply in the current state, since targets may
   // send any report at any time.
