--- a/source/core/target_state/target_life.cc
+++ b/source/core/target_state/target_life.cc
@@ -10,8 +10,8 @@
 
 namespace bulrushmount {
 
+using detail::TargetLifecycleEvent;
 using detail::TargetLifecycleMachine;
-using detail::TargetLifeEvent;
 
 namespace {
 
@@ -48,7 +48,7 @@
                    life_settings.warm_answers),
         suspicion_duration(life_settings.shortest_suspicion) {}
 
-  void HandleEvent(TargetLifeEvent event, std::string_view cause);
+  void HandleEvent(TargetLifecycleEvent event, std::string_view cause);
   ColdStart NewColdStart(TimePoint now) const;
   void StartLifecycle(TimePoint now, const TargetAnnouncement& next);
   void Suspect(TimePoint now, bool by_requests, std::string_view cause);
@@ -75,7 +75,7 @@
   bool is_probe_healthy_since = false;
 };
 
-void TargetLifecycle::Impl::HandleEvent(TargetLifeEvent event,
+void TargetLifecycle::Impl::HandleEvent(TargetLifecycleEvent event,
                                         std::string_view cause) {
   const TargetState before = machine.state();
   machine.Handle(event);
@@ -104,7 +104,7 @@
   evidence = TargetEvidence(settings.thresholds);
   cold_start = NewColdStart(now);
   suspicion_duration = settings.shortest_suspicion;
-  HandleEvent(TargetLifeEvent::kAnnounced, "announced");
+  HandleEvent(TargetLifecycleEvent::kAnnounced, "announced");
 }
 
 void TargetLifecycle::Impl::Suspect(TimePoint now,
@@ -120,7 +120,7 @@
   is_suspected_by_requests = by_requests;
   is_probe_healthy_since = false;
   suspected_at = now;
-  HandleEvent(TargetLifeEvent::kSuspected, cause);
+  HandleEvent(TargetLifecycleEvent::kSuspected, cause);
 }
 
 // After failed requests the target goes through its cold start again, so that
@@ -135,7 +135,7 @@
     evidence.BeginTrial();
     cold_start = NewColdStart(now);
   }
-  HandleEvent(TargetLifeEvent::kAnswered, "tried_again");
+  HandleEvent(TargetLifecycleEvent::kAnswered, "tried_again");
 }
 
 void TargetLifecycle::Impl::EndColdStart(TimePoint now) {
@@ -145,7 +145,7 @@
   if (evidence.HasRecentAnswer(now)) {
     suspicion_duration = settings.shortest_suspicion;
   }
-  HandleEvent(TargetLifeEvent::kColdStartOver, "warm");
+  HandleEvent(TargetLifecycleEvent::kColdStartOver, "warm");
 }
 
 bool TargetLifecycle::Impl::AcceptsRequests() const {
@@ -208,7 +208,7 @@
     return;
   }
   if (m_impl->announcements_missed >= m_impl->settings.announcements_missed) {
-    m_impl->HandleEvent(TargetLifeEvent::kGone, "announcements_missed");
+    m_impl->HandleEvent(TargetLifecycleEvent::kGone, "announcements_missed");
     return;
   }
   m_impl->Suspect(now, false, "announcement_missed");
@@ -216,12 +216,12 @@
 
 void TargetLifecycle::OnWithdrawn(TimePoint now) {
   m_impl->announcements_missed = 0;
-  m_impl->HandleEvent(TargetLifeEvent::kWithdrawn, "withdrawn");
+  m_impl->HandleEvent(TargetLifecycleEvent::kWithdrawn, "withdrawn");
 }
 
 void TargetLifecycle::OnDrained(TimePoint now) {
   if (state() == TargetState::kDraining) {
-    m_impl->HandleEvent(TargetLifeEvent::kGone, "drained");
+    m_impl->HandleEvent(TargetLifecycleEvent::kGone, "drained");
   }
 }
 
@@ -242,7 +242,7 @@
   if (is_answered) {
     m_impl->cold_start.OnAnswered();
     if (state() == TargetState::kAnnounced) {
-      m_impl->HandleEvent(TargetLifeEvent::kAnswered, "answered");
+      m_impl->HandleEvent(TargetLifecycleEvent::kAnswered, "answered");
     }
     m_impl->EndColdStart(now);
     return;
@@ -260,7 +260,7 @@
     return;
   }
   if (is_healthy && state() == TargetState::kAnnounced) {
-    m_impl->HandleEvent(TargetLifeEvent::kAnswered, "probe_healthy");
+    m_impl->HandleEvent(TargetLifecycleEvent::kAnswered, "probe_healthy");
   }
   if (m_impl->evidence.IsFailingProbes(now)) {
     m_impl->Suspect(now, false, "probes_fail");
@@ -273,7 +273,7 @@
     m_impl->Retry(now);
   }
   if (state() == TargetState::kAnnounced && m_impl->cold_start.IsOver(now)) {
-    m_impl->HandleEvent(TargetLifeEvent::kAnswered, "no_evidence");
+    m_impl->HandleEvent(TargetLifecycleEvent::kAnswered, "no_evidence");
   }
   m_impl->EndColdStart(now);
 }
--- a/source/core/target_state/target_life_machine.cc
+++ b/source/core/target_state/target_life_machine.cc
@@ -95,25 +95,25 @@
 
 TargetLifecycleMachine::~TargetLifecycleMachine() = default;
 
-void TargetLifecycleMachine::Handle(TargetLifeEvent event) {
+void TargetLifecycleMachine::Handle(TargetLifecycleEvent event) {
   Machine& machine = m_impl->machine;
   switch (event) {
-    case TargetLifeEvent::kAnnounced:
+    case TargetLifecycleEvent::kAnnounced:
       machine.process_event(Announced{});
       return;
-    case TargetLifeEvent::kAnswered:
+    case TargetLifecycleEvent::kAnswered:
       machine.process_event(Answered{});
       return;
-    case TargetLifeEvent::kColdStartOver:
+    case TargetLifecycleEvent::kColdStartOver:
       machine.process_event(ColdStartOver{});
       return;
-    case TargetLifeEvent::kSuspected:
+    case TargetLifecycleEvent::kSuspected:
       machine.process_event(Suspected{});
       return;
-    case TargetLifeEvent::kWithdrawn:
+    case TargetLifecycleEvent::kWithdrawn:
       machine.process_event(Withdrawn{});
       return;
-    case TargetLifeEvent::kGone:
+    case TargetLifecycleEvent::kGone:
       machine.process_event(GoneAway{});
       return;
   }
--- a/source/core/target_state/target_life_machine.h
+++ b/source/core/target_state/target_life_machine.h
@@ -11,7 +11,7 @@
 
 namespace bulrushmount::detail {
 
-enum class TargetLifeEvent : std::uint8_t {
+enum class TargetLifecycleEvent : std::uint8_t {
   // A new incarnation.
   kAnnounced,
   // First answered request or healthy probe, or a suspect target is tried
@@ -34,7 +34,7 @@
 
   // Ignores events that do not apply in the current state, since targets may
   // send any report at any time.
-  void Handle(TargetLifeEvent event);
+  void Handle(TargetLifecycleEvent event);
 
   TargetState state() const;
 
