--- a/source/benchmarks/policy_run.h
+++ b/source/benchmarks/policy_run.h
@@ -19,7 +19,7 @@
 #include "core/common/random.h"
 #include "core/routing/decaying_retry_budget.h"
 #include "core/routing/target_picker.h"
-#include "core/target_state/target_life.h"
+#include "core/target_state/target_lifecycle.h"
 #include "unit_tests/core/limits/limiter_fleet.h"
 
 namespace bulrushmount {
--- a/source/core/node_logic/owner_policies.h
+++ b/source/core/node_logic/owner_policies.h
@@ -9,7 +9,7 @@
 #include "core/admission/admission.h"
 #include "core/admission/concurrency_limit.h"
 #include "core/node_logic/node_settings.h"
-#include "core/target_state/target_life.h"
+#include "core/target_state/target_lifecycle.h"
 
 namespace bulrushmount::detail {
 
--- a/source/core/node_logic/owner_side.h
+++ b/source/core/node_logic/owner_side.h
@@ -30,7 +30,7 @@
 #include "core/routes/route_table.h"
 #include "core/target_state/refused_reports.h"
 #include "core/target_state/target_gate.h"
-#include "core/target_state/target_life.h"
+#include "core/target_state/target_lifecycle.h"
 #include "core/target_state/target_speed.h"
 
 namespace bulrushmount::detail {
--- a/source/core/target_state/target_life.cc
+++ b/source/core/target_state/target_life.cc
@@ -1,7 +1,7 @@
 // Part of `target_lifecycle.h`: evaluates the evidence and drives the state
 // machine.
 
-#include "core/target_state/target_life.h"
+#include "core/target_state/target_lifecycle.h"
 
 #include <algorithm>
 
--- a/source/core/target_state/target_life_machine.h
+++ b/source/core/target_state/target_life_machine.h
@@ -7,7 +7,7 @@
 #include <cstdint>
 #include <memory>
 
-#include "core/target_state/target_life.h"
+#include "core/target_state/target_lifecycle.h"
 
 namespace bulrushmount::detail {
 
--- a/source/core/target_state/target_life.h
+++ b/source/core/target_state/target_lifecycle.h
@@ -2,8 +2,8 @@
 // gone. Its state determines whether the target gets new requests, and what the
 // node publishes about it.
 
-#ifndef BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_LIFE_H_
-#define BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_LIFE_H_
+#ifndef BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_LIFECYCLE_H_
+#define BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_LIFECYCLE_H_
 
 #include <cstdint>
 #include <memory>
@@ -115,4 +115,4 @@
 
 }  // namespace bulrushmount
 
-#endif  // BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_LIFE_H_
+#endif  // BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_LIFECYCLE_H_
--- a/source/unit_tests/core/target_state/target_life_test.cc
+++ b/source/unit_tests/core/target_state/target_life_test.cc
@@ -1,7 +1,7 @@
 // Tests of `core/target_state/target_lifecycle.h`: the state after each
 // sequence of events.
 
-#include "core/target_state/target_life.h"
+#include "core/target_state/target_lifecycle.h"
 
 #include <gtest/gtest.h>
 
