--- a/source/core/target_state/target_life_machine.cc
+++ b/source/core/target_state/target_life_machine.cc
@@ -4,7 +4,7 @@
 #define BOOST_MPL_CFG_NO_PREPROCESSED_HEADERS
 #define BOOST_MPL_LIMIT_VECTOR_SIZE 30
 
-#include "core/target_state/target_life_machine.h"
+#include "core/target_state/target_lifecycle_machine.h"
 
 #include <boost/msm/back/state_machine.hpp>
 #include <boost/msm/front/functor_row.hpp>
--- a/source/core/target_state/target_lifecycle.cc
+++ b/source/core/target_state/target_lifecycle.cc
@@ -6,7 +6,7 @@
 #include <algorithm>
 
 #include "core/common/logging.h"
-#include "core/target_state/target_life_machine.h"
+#include "core/target_state/target_lifecycle_machine.h"
 
 namespace bulrushmount {
 
--- a/source/core/target_state/target_life_machine.h
+++ b/source/core/target_state/target_lifecycle_machine.h
@@ -1,8 +1,8 @@
 // State machine of a target's lifecycle. It holds no data but the state; the
 // evidence that raises its events is kept apart.
 
-#ifndef BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_LIFE_MACHINE_H_
-#define BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_LIFE_MACHINE_H_
+#ifndef BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_LIFECYCLE_MACHINE_H_
+#define BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_LIFECYCLE_MACHINE_H_
 
 #include <cstdint>
 #include <memory>
@@ -45,4 +45,4 @@
 
 }  // namespace bulrushmount::detail
 
-#endif  // BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_LIFE_MACHINE_H_
+#endif  // BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_LIFECYCLE_MACHINE_H_
