--- a/source/core/node_logic/owner_side.h
+++ b/source/core/node_logic/owner_side.h
@@ -125,7 +125,7 @@
   void RecordCrash(TimePoint now);
   bool IsAnyHandedOver() const;
   void CheckAnnouncements(TimePoint now);
-  void ApplyVerdict(TimePoint now, GateVerdict verdict);
+  void ApplyVerdict(TimePoint now, GateAction verdict);
   void OpenGate(TimePoint now);
   void RecordFailure(TimePoint now, const OwnedWork& work);
   void ReportCrashSuspects(TimePoint now);
--- a/source/core/node_logic/owner_target.cc
+++ b/source/core/node_logic/owner_target.cc
@@ -124,17 +124,17 @@
     m_inquiry.AskHealth(now, *m_gate.candidate());
 }
 
-void OwnerSide::ApplyVerdict(TimePoint now, GateVerdict verdict) {
+void OwnerSide::ApplyVerdict(TimePoint now, GateAction verdict) {
   switch (verdict) {
-    case GateVerdict::kNone:
+    case GateAction::kNone:
       return;
-    case GateVerdict::kProbe:
+    case GateAction::kProbe:
       m_inquiry.AskHealth(now, *m_gate.candidate());
       return;
-    case GateVerdict::kOpen:
+    case GateAction::kOpen:
       OpenGate(now);
       return;
-    case GateVerdict::kClose:
+    case GateAction::kClose:
       LogLine(LogLevel::kInfo, "target.gate_closed")
           .Add("instance", m_instance);
       OnWithdrawn(now);
--- a/source/core/target_state/target_gate.cc
+++ b/source/core/target_state/target_gate.cc
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-GateVerdict TargetGate::OnHeartbeat(TimePoint now,
-                                    const TargetHeartbeat& heartbeat) {
+GateAction TargetGate::OnHeartbeat(TimePoint now,
+                                   const TargetHeartbeat& heartbeat) {
   Record& record = RecordOf(heartbeat.instance);
   if (!UpdateProcess(heartbeat.started, record)) {
     LogLine(LogLevel::kInfo, "target.heartbeat_of_earlier_process")
@@ -27,7 +27,7 @@
         .Add("sequence", heartbeat.sequence);
     return heartbeat.readiness == TargetReadiness::kDraining
                ? CloseEarlierProcess(heartbeat.instance, heartbeat.started)
-               : GateVerdict::kNone;
+               : GateAction::kNone;
   }
   // Draining is final, even if the heartbeat is late.
   if (heartbeat.readiness == TargetReadiness::kDraining)
@@ -39,7 +39,7 @@
         .Add("sequence", heartbeat.sequence)
         .Add("newest_sequence", record.newest_sequence)
         .Add("closed", record.is_closed);
-    return GateVerdict::kNone;
+    return GateAction::kNone;
   }
   record.newest_sequence = heartbeat.sequence;
   const bool is_confirmed = IsSameProcess(m_current, heartbeat) ||
@@ -47,11 +47,11 @@
   if (is_confirmed)
     return Open(heartbeat);
   m_candidate = heartbeat;
-  return GateVerdict::kProbe;
+  return GateAction::kProbe;
 }
 
-GateVerdict TargetGate::OnDeparted(const InstanceId& instance,
-                                   const std::optional<ProcessStart>& started) {
+GateAction TargetGate::OnDeparted(const InstanceId& instance,
+                                  const std::optional<ProcessStart>& started) {
   if (!UpdateProcess(started, RecordOf(instance)))
     return CloseEarlierProcess(instance, started);
   return Close(instance);
@@ -59,15 +59,15 @@
 
 // Until a later process is confirmed, the earlier one is the current target, so
 // its departure closes the gate.
-GateVerdict TargetGate::CloseEarlierProcess(
+GateAction TargetGate::CloseEarlierProcess(
     const InstanceId& instance,
     const std::optional<ProcessStart>& started) {
   const bool is_current = m_current && m_current->instance == instance &&
                           m_current->started == started;
   if (!is_current)
-    return GateVerdict::kNone;
+    return GateAction::kNone;
   m_current.reset();
-  return GateVerdict::kClose;
+  return GateAction::kClose;
 }
 
 bool TargetGate::UpdateProcess(const std::optional<ProcessStart>& started,
@@ -94,27 +94,27 @@
          known->started == heartbeat.started;
 }
 
-GateVerdict TargetGate::OnProbe(const InstanceId& instance, bool is_healthy) {
+GateAction TargetGate::OnProbe(const InstanceId& instance, bool is_healthy) {
   if (!m_candidate)
-    return GateVerdict::kNone;
+    return GateAction::kNone;
   const bool is_other =
       !instance.value().empty() && instance != m_candidate->instance;
   if (is_other) {
     // The heartbeat was late: another target answers at the address by now.
     RecordOf(m_candidate->instance).is_closed = true;
     m_candidate.reset();
-    return GateVerdict::kNone;
+    return GateAction::kNone;
   }
   // An unhealthy target may be draining, or its health endpoint may be wrong;
   // its next heartbeat decides.
   if (!is_healthy)
-    return GateVerdict::kNone;
+    return GateAction::kNone;
   const TargetHeartbeat confirmed = *m_candidate;
   return Open(confirmed);
 }
 
-GateVerdict TargetGate::OnProbeFailed() {
-  return GateVerdict::kNone;
+GateAction TargetGate::OnProbeFailed() {
+  return GateAction::kNone;
 }
 
 TargetGate::Record& TargetGate::RecordOf(const InstanceId& instance) {
@@ -130,22 +130,22 @@
   return m_records.back();
 }
 
-GateVerdict TargetGate::Close(const InstanceId& instance) {
+GateAction TargetGate::Close(const InstanceId& instance) {
   RecordOf(instance).is_closed = true;
   if (m_candidate && m_candidate->instance == instance)
     m_candidate.reset();
   if (!m_current || m_current->instance != instance)
-    return GateVerdict::kNone;
+    return GateAction::kNone;
   m_current.reset();
-  return GateVerdict::kClose;
+  return GateAction::kClose;
 }
 
-GateVerdict TargetGate::Open(const TargetHeartbeat& heartbeat) {
+GateAction TargetGate::Open(const TargetHeartbeat& heartbeat) {
   if (m_current && m_current->instance != heartbeat.instance)
     RecordOf(m_current->instance).is_closed = true;
   m_current = heartbeat;
   m_candidate.reset();
-  return GateVerdict::kOpen;
+  return GateAction::kOpen;
 }
 
 }  // namespace bulrushmount
--- a/source/core/target_state/target_gate.h
+++ b/source/core/target_state/target_gate.h
@@ -29,7 +29,7 @@
 namespace bulrushmount {
 
 // Action for the caller to take after an event.
-enum class GateVerdict : std::uint8_t {
+enum class GateAction : std::uint8_t {
   kNone,
   // Probe the health endpoint of `candidate`, and call OnProbe with the result.
   kProbe,
@@ -41,16 +41,16 @@
 
 class TargetGate {
  public:
-  GateVerdict OnHeartbeat(TimePoint now, const TargetHeartbeat& heartbeat);
+  GateAction OnHeartbeat(TimePoint now, const TargetHeartbeat& heartbeat);
   // `started` is the process of the target that has left; without it, the
   // newest known one.
-  GateVerdict OnDeparted(const InstanceId& instance,
-                         const std::optional<ProcessStart>& started = {});
+  GateAction OnDeparted(const InstanceId& instance,
+                        const std::optional<ProcessStart>& started = {});
 
   // `instance` is the id of the target that answered; empty if it does not
   // report one.
-  GateVerdict OnProbe(const InstanceId& instance, bool is_healthy);
-  GateVerdict OnProbeFailed();
+  GateAction OnProbe(const InstanceId& instance, bool is_healthy);
+  GateAction OnProbeFailed();
 
   // The target that may get requests; empty if there is none.
   const std::optional<TargetHeartbeat>& current() const { return m_current; }
@@ -80,11 +80,11 @@
   // Whether `heartbeat` is from the target and process of `known`.
   static bool IsSameProcess(const std::optional<TargetHeartbeat>& known,
                             const TargetHeartbeat& heartbeat);
-  GateVerdict Close(const InstanceId& instance);
+  GateAction Close(const InstanceId& instance);
   // Handles the departure of a process that is no longer its target's newest.
-  GateVerdict CloseEarlierProcess(const InstanceId& instance,
-                                  const std::optional<ProcessStart>& started);
-  GateVerdict Open(const TargetHeartbeat& heartbeat);
+  GateAction CloseEarlierProcess(const InstanceId& instance,
+                                 const std::optional<ProcessStart>& started);
+  GateAction Open(const TargetHeartbeat& heartbeat);
 
   // Newest last; at most kMaxRecords.
   std::deque<Record> m_records;
--- a/source/unit_tests/core/target_state/target_gate_test.cc
+++ b/source/unit_tests/core/target_state/target_gate_test.cc
@@ -50,9 +50,9 @@
 };
 
 TEST_F(TargetGateTest, FirstHeartbeatIsConfirmedByTheHealthEndpoint) {
-  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 1)), GateVerdict::kProbe);
+  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 1)), GateAction::kProbe);
   EXPECT_FALSE(m_gate.current());
-  EXPECT_EQ(m_gate.OnProbe(InstanceId("a"), true), GateVerdict::kOpen);
+  EXPECT_EQ(m_gate.OnProbe(InstanceId("a"), true), GateAction::kOpen);
   EXPECT_TRUE(IsOpenFor("a"));
 }
 
@@ -60,13 +60,13 @@
 // acknowledged: the node acknowledges and is killed, and its next process
 // receives a delayed "ready" heartbeat from before the drain.
 TEST_F(TargetGateTest, LateHeartbeatAfterARestartOpensNothing) {
-  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 7)), GateVerdict::kProbe);
+  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 7)), GateAction::kProbe);
   // It drains, so its health endpoint reports unhealthy.
-  EXPECT_EQ(m_gate.OnProbe(InstanceId("a"), false), GateVerdict::kNone);
+  EXPECT_EQ(m_gate.OnProbe(InstanceId("a"), false), GateAction::kNone);
   EXPECT_FALSE(m_gate.current());
   m_gate.OnHeartbeat(m_now, Draining("a", 9));
   EXPECT_FALSE(m_gate.current());
-  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 8)), GateVerdict::kNone);
+  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 8)), GateAction::kNone);
   EXPECT_FALSE(m_gate.current());
 }
 
@@ -76,19 +76,19 @@
 TEST_F(TargetGateTest, SecondNewerHeartbeatOpensWithoutTheProbe) {
   m_gate.OnHeartbeat(m_now, Ready("a", 3));
   m_gate.OnProbe(InstanceId("a"), false);
-  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 4)), GateVerdict::kOpen);
+  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 4)), GateAction::kOpen);
   EXPECT_TRUE(IsOpenFor("a"));
 }
 
 TEST_F(TargetGateTest, DuplicateHeartbeatIsNoConfirmation) {
   m_gate.OnHeartbeat(m_now, Ready("a", 3));
-  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 3)), GateVerdict::kNone);
+  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 3)), GateAction::kNone);
   EXPECT_FALSE(m_gate.current());
 }
 
 TEST_F(TargetGateTest, LateDrainingHeartbeatClosesAtOnce) {
   OpenFor("a", 5);
-  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Draining("a", 4)), GateVerdict::kClose);
+  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Draining("a", 4)), GateAction::kClose);
   EXPECT_FALSE(m_gate.current());
 }
 
@@ -96,25 +96,25 @@
 // transit, its successor opens the gate, and then the old heartbeat arrives.
 TEST_F(TargetGateTest, LateHeartbeatOfAPredecessorDoesNotReplaceItsSuccessor) {
   OpenFor("b", 1);
-  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 90)), GateVerdict::kProbe);
+  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 90)), GateAction::kProbe);
   EXPECT_TRUE(IsOpenFor("b"));
   // The successor answers at the address.
-  EXPECT_EQ(m_gate.OnProbe(InstanceId("b"), true), GateVerdict::kNone);
+  EXPECT_EQ(m_gate.OnProbe(InstanceId("b"), true), GateAction::kNone);
   EXPECT_TRUE(IsOpenFor("b"));
-  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 91)), GateVerdict::kNone);
+  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 91)), GateAction::kNone);
 }
 
 TEST_F(TargetGateTest, SuccessorReplacesItsPredecessorPermanently) {
   OpenFor("a", 5);
   OpenFor("b", 1);
-  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 6)), GateVerdict::kNone);
+  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 6)), GateAction::kNone);
   EXPECT_TRUE(IsOpenFor("b"));
 }
 
 TEST_F(TargetGateTest, DepartedTargetStaysClosed) {
   OpenFor("a", 5);
-  EXPECT_EQ(m_gate.OnDeparted(InstanceId("a")), GateVerdict::kClose);
-  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 6)), GateVerdict::kNone);
+  EXPECT_EQ(m_gate.OnDeparted(InstanceId("a")), GateAction::kClose);
+  EXPECT_EQ(m_gate.OnHeartbeat(m_now, Ready("a", 6)), GateAction::kNone);
   EXPECT_FALSE(m_gate.current());
 }
 
@@ -134,8 +134,8 @@
   m_gate.OnProbe(InstanceId("a"), true);
   ASSERT_TRUE(IsOpenFor("a"));
   EXPECT_EQ(m_gate.OnHeartbeat(m_now, WithProcess(2, Ready("a", 1))),
-            GateVerdict::kProbe);
-  EXPECT_EQ(m_gate.OnProbe(InstanceId("a"), true), GateVerdict::kOpen);
+            GateAction::kProbe);
+  EXPECT_EQ(m_gate.OnProbe(InstanceId("a"), true), GateAction::kOpen);
   EXPECT_EQ(m_gate.current()->sequence, 1U);
 }
 
@@ -144,9 +144,9 @@
   m_gate.OnHeartbeat(m_now, WithProcess(1, Draining("a", 9)));
   m_gate.OnHeartbeat(m_now, WithProcess(2, Ready("a", 1)));
   EXPECT_EQ(m_gate.OnHeartbeat(m_now, WithProcess(2, Ready("a", 2))),
-            GateVerdict::kOpen);
+            GateAction::kOpen);
   EXPECT_EQ(m_gate.OnHeartbeat(m_now, WithProcess(1, Ready("a", 99))),
-            GateVerdict::kNone);
+            GateAction::kNone);
   EXPECT_TRUE(IsOpenFor("a"));
 }
 
@@ -157,14 +157,14 @@
   m_gate.OnHeartbeat(m_now, WithProcess(2, Ready("a", 1)));
   m_gate.OnProbe(InstanceId("a"), true);
   EXPECT_EQ(m_gate.OnHeartbeat(m_now, WithProcess(1, Draining("a", 50))),
-            GateVerdict::kNone);
+            GateAction::kNone);
   EXPECT_EQ(m_gate.OnDeparted(InstanceId("a"),
                               ProcessStart(std::chrono::milliseconds(1))),
-            GateVerdict::kNone);
+            GateAction::kNone);
   EXPECT_TRUE(IsOpenFor("a"));
   EXPECT_EQ(m_gate.OnDeparted(InstanceId("a"),
                               ProcessStart(std::chrono::milliseconds(2))),
-            GateVerdict::kClose);
+            GateAction::kClose);
 }
 
 // Guards against requests to a draining target: a later process of it has
@@ -176,10 +176,10 @@
   ASSERT_TRUE(IsOpenFor("a"));
   m_gate.OnHeartbeat(m_now, WithProcess(3, Ready("a", 1)));
   EXPECT_EQ(m_gate.OnHeartbeat(m_now, WithProcess(2, Draining("a", 3))),
-            GateVerdict::kClose);
+            GateAction::kClose);
   EXPECT_FALSE(m_gate.current());
   EXPECT_EQ(m_gate.OnHeartbeat(m_now, WithProcess(3, Ready("a", 2))),
-            GateVerdict::kOpen);
+            GateAction::kOpen);
 }
 
 // Compares with a naive gate that receives the heartbeats of one target in
