--- a/source/benchmarks/policy_run.cc
+++ b/source/benchmarks/policy_run.cc
@@ -298,8 +298,8 @@
   Target& target = m_targets[index];
   --target.running;
   if (target.life) {
-    target.life->OnReal(m_now,
-                        is_error ? RealResult::kError : RealResult::kAnswered);
+    target.life->OnReal(
+        m_now, is_error ? RequestResult::kError : RequestResult::kAnswered);
     StepLife(index);
   }
   if (target.admission) {
--- a/source/core/node_logic/owner_side.cc
+++ b/source/core/node_logic/owner_side.cc
@@ -222,7 +222,7 @@
 
 void OwnerSide::OnConnectFailed(TimePoint now, WorkId work) {
   ReportCrashSuspects(now);
-  EndNotRun(now, work, Reason::kConnectFailed, RealResult::kConnectFailed);
+  EndNotRun(now, work, Reason::kConnectFailed, RequestResult::kConnectFailed);
 }
 
 void OwnerSide::OnAnswerBegun(TimePoint now, const TargetAnswerBegun& event) {
@@ -230,12 +230,12 @@
   if (found == m_works.end() || !found->second.is_handed_over)
     return;
   if (event.is_shed) {
-    EndNotRun(now, event.work, Reason::kShed, RealResult::kShed);
+    EndNotRun(now, event.work, Reason::kShed, RequestResult::kShed);
     return;
   }
   if (event.is_wrong_target) {
     EndNotRun(now, event.work, Reason::kWrongTarget,
-              RealResult::kConnectFailed);
+              RequestResult::kConnectFailed);
     return;
   }
   found->second.is_answer_begun = true;
@@ -254,7 +254,8 @@
   const std::optional<OwnedWork> work = Take(id);
   RecordEnd(now, *work, "answered");
   const bool is_error = work->status >= kFirstServerError;
-  m_life.OnReal(now, is_error ? RealResult::kError : RealResult::kAnswered,
+  m_life.OnReal(now,
+                is_error ? RequestResult::kError : RequestResult::kAnswered,
                 work->head.workspace);
   m_quarantine.OnWorkEnded(work->admitted());
   Apply(now, m_admission.OnEnded(now, id, WorkEnd::kAnswered));
@@ -266,7 +267,7 @@
   if (!work)
     return;
   RecordEnd(now, *work, TraitsOf(Reason::kTargetLost).token);
-  m_life.OnReal(now, RealResult::kBrokenOff, work->head.workspace);
+  m_life.OnReal(now, RequestResult::kBrokenOff, work->head.workspace);
   RecordFailure(now, *work);
   m_actions.Push(FailWork{event.work, Reason::kTargetLost, LoadAt(now)});
   AdmissionOutput output =
@@ -392,7 +393,7 @@
 void OwnerSide::EndNotRun(TimePoint now,
                           WorkId id,
                           Reason reason,
-                          RealResult result) {
+                          RequestResult result) {
   const std::optional<OwnedWork> work = TakeHandedOver(id);
   if (!work)
     return;
--- a/source/core/node_logic/owner_side.h
+++ b/source/core/node_logic/owner_side.h
@@ -112,7 +112,10 @@
   Reason ReasonToRefuse(TimePoint now, const WorkHead& head);
   void Apply(TimePoint now, const AdmissionOutput& output);
   void Refuse(TimePoint now, WorkId work, Reason reason);
-  void EndNotRun(TimePoint now, WorkId work, Reason reason, RealResult result);
+  void EndNotRun(TimePoint now,
+                 WorkId work,
+                 Reason reason,
+                 RequestResult result);
   // Takes the work out; empty if it has ended already.
   std::optional<OwnedWork> Take(WorkId work);
   // Also empty if the target has not been handed the work. A work that is still
--- a/source/core/target_state/target_evidence.cc
+++ b/source/core/target_state/target_evidence.cc
@@ -7,29 +7,29 @@
 namespace bulrushmount {
 
 void TargetEvidence::OnReal(TimePoint now,
-                            RealResult result,
+                            RequestResult result,
                             const WorkspaceName& workspace) {
   m_connects_failed =
-      result == RealResult::kConnectFailed ? m_connects_failed + 1 : 0;
+      result == RequestResult::kConnectFailed ? m_connects_failed + 1 : 0;
   switch (result) {
-    case RealResult::kAnswered:
+    case RequestResult::kAnswered:
       m_sheds = 0;
       m_probes_failed = 0;
       m_last_answer = now;
       m_is_trial = false;
       break;
-    case RealResult::kShed:
+    case RequestResult::kShed:
       // A full target sheds and answers alternately, a draining one only sheds,
       // so sheds count by their consecutive number and not as failures in the
       // window.
       ++m_sheds;
       return;
-    case RealResult::kConnectFailed:
-    case RealResult::kError:
-    case RealResult::kBrokenOff:
+    case RequestResult::kConnectFailed:
+    case RequestResult::kError:
+    case RequestResult::kBrokenOff:
       break;
   }
-  AddResult({workspace, now, result != RealResult::kAnswered});
+  AddResult({workspace, now, result != RequestResult::kAnswered});
 }
 
 void TargetEvidence::AddResult(const Result& result) {
--- a/source/core/target_state/target_evidence.h
+++ b/source/core/target_state/target_evidence.h
@@ -17,7 +17,7 @@
 namespace bulrushmount {
 
 // Result of handing one request to the target.
-enum class RealResult : std::uint8_t {
+enum class RequestResult : std::uint8_t {
   // A complete answer with a status below 500.
   kAnswered,
   // An answer with a status of 500 or more that does not signal shedding.
@@ -61,7 +61,9 @@
   explicit TargetEvidence(const EvidenceThresholds& thresholds)
       : m_thresholds(thresholds) {}
 
-  void OnReal(TimePoint now, RealResult result, const WorkspaceName& workspace);
+  void OnReal(TimePoint now,
+              RequestResult result,
+              const WorkspaceName& workspace);
   void OnProbe(bool is_healthy);
 
   // Whether the results of requests indicate that new ones would fail.
--- a/source/core/target_state/target_lifecycle.cc
+++ b/source/core/target_state/target_lifecycle.cc
@@ -230,10 +230,10 @@
 }
 
 void TargetLifecycle::OnReal(TimePoint now,
-                             RealResult result,
+                             RequestResult result,
                              const WorkspaceName& workspace) {
   m_impl->last_call = now;
-  const bool is_answered = result == RealResult::kAnswered;
+  const bool is_answered = result == RequestResult::kAnswered;
   if (is_answered && state() == TargetState::kSuspect &&
       !m_impl->is_suspected_by_requests) {
     m_impl->Retry(now);
--- a/source/core/target_state/target_lifecycle.h
+++ b/source/core/target_state/target_lifecycle.h
@@ -88,7 +88,7 @@
 
   // Handles the result of a real request of `workspace`.
   void OnReal(TimePoint now,
-              RealResult result,
+              RequestResult result,
               const WorkspaceName& workspace = WorkspaceName());
 
   // `is_healthy` is also false for a probe without an answer.
