--- a/source/benchmarks/policy_run.cc
+++ b/source/benchmarks/policy_run.cc
@@ -298,7 +298,7 @@
   Target& target = m_targets[index];
   --target.running;
   if (target.life) {
-    target.life->OnReal(
+    target.life->OnRequestResult(
         m_now, is_error ? RequestResult::kError : RequestResult::kAnswered);
     StepLife(index);
   }
--- a/source/core/node_logic/owner_side.cc
+++ b/source/core/node_logic/owner_side.cc
@@ -254,9 +254,9 @@
   const std::optional<OwnedWork> work = Take(id);
   RecordEnd(now, *work, "answered");
   const bool is_error = work->status >= kFirstServerError;
-  m_life.OnReal(now,
-                is_error ? RequestResult::kError : RequestResult::kAnswered,
-                work->head.workspace);
+  m_life.OnRequestResult(
+      now, is_error ? RequestResult::kError : RequestResult::kAnswered,
+      work->head.workspace);
   m_quarantine.OnWorkEnded(work->admitted());
   Apply(now, m_admission.OnEnded(now, id, WorkEnd::kAnswered));
 }
@@ -267,7 +267,7 @@
   if (!work)
     return;
   RecordEnd(now, *work, TraitsOf(Reason::kTargetLost).token);
-  m_life.OnReal(now, RequestResult::kBrokenOff, work->head.workspace);
+  m_life.OnRequestResult(now, RequestResult::kBrokenOff, work->head.workspace);
   RecordFailure(now, *work);
   m_actions.Push(FailWork{event.work, Reason::kTargetLost, LoadAt(now)});
   AdmissionOutput output =
@@ -398,7 +398,7 @@
   if (!work)
     return;
   RecordEnd(now, *work, TraitsOf(reason).token);
-  m_life.OnReal(now, result, work->head.workspace);
+  m_life.OnRequestResult(now, result, work->head.workspace);
   m_quarantine.OnWorkEnded(work->admitted());
   AdmissionOutput output = m_admission.OnEnded(now, id, WorkEnd::kNotRun);
   Refuse(now, id, reason);
--- a/source/core/target_state/target_evidence.cc
+++ b/source/core/target_state/target_evidence.cc
@@ -6,9 +6,9 @@
 
 namespace bulrushmount {
 
-void TargetEvidence::OnReal(TimePoint now,
-                            RequestResult result,
-                            const WorkspaceName& workspace) {
+void TargetEvidence::OnRequestResult(TimePoint now,
+                                     RequestResult result,
+                                     const WorkspaceName& workspace) {
   m_connects_failed =
       result == RequestResult::kConnectFailed ? m_connects_failed + 1 : 0;
   switch (result) {
--- a/source/core/target_state/target_evidence.h
+++ b/source/core/target_state/target_evidence.h
@@ -61,9 +61,9 @@
   explicit TargetEvidence(const EvidenceThresholds& thresholds)
       : m_thresholds(thresholds) {}
 
-  void OnReal(TimePoint now,
-              RequestResult result,
-              const WorkspaceName& workspace);
+  void OnRequestResult(TimePoint now,
+                       RequestResult result,
+                       const WorkspaceName& workspace);
   void OnProbe(bool is_healthy);
 
   // Whether the results of requests indicate that new ones would fail.
--- a/source/core/target_state/target_lifecycle.cc
+++ b/source/core/target_state/target_lifecycle.cc
@@ -229,16 +229,16 @@
   m_impl->Suspect(now, true, "crashed");
 }
 
-void TargetLifecycle::OnReal(TimePoint now,
-                             RequestResult result,
-                             const WorkspaceName& workspace) {
+void TargetLifecycle::OnRequestResult(TimePoint now,
+                                      RequestResult result,
+                                      const WorkspaceName& workspace) {
   m_impl->last_call = now;
   const bool is_answered = result == RequestResult::kAnswered;
   if (is_answered && state() == TargetState::kSuspect &&
       !m_impl->is_suspected_by_requests) {
     m_impl->Retry(now);
   }
-  m_impl->evidence.OnReal(now, result, workspace);
+  m_impl->evidence.OnRequestResult(now, result, workspace);
   if (is_answered) {
     m_impl->cold_start.OnAnswered();
     if (state() == TargetState::kAnnounced) {
--- a/source/core/target_state/target_lifecycle.h
+++ b/source/core/target_state/target_lifecycle.h
@@ -87,9 +87,9 @@
   void OnCrashed(TimePoint now);
 
   // Handles the result of a real request of `workspace`.
-  void OnReal(TimePoint now,
-              RequestResult result,
-              const WorkspaceName& workspace = WorkspaceName());
+  void OnRequestResult(TimePoint now,
+                       RequestResult result,
+                       const WorkspaceName& workspace = WorkspaceName());
 
   // `is_healthy` is also false for a probe without an answer.
   void OnProbe(TimePoint now, bool is_healthy);
--- a/source/unit_tests/core/target_state/target_lifecycle_test.cc
+++ b/source/unit_tests/core/target_state/target_lifecycle_test.cc
@@ -71,29 +71,31 @@
       case 'x':
         return m_lifecycle.OnCrashed(m_now);
       case 'o':
-        return m_lifecycle.OnReal(m_now, RequestResult::kAnswered);
+        return m_lifecycle.OnRequestResult(m_now, RequestResult::kAnswered);
       case 'e':
-        return m_lifecycle.OnReal(m_now, RequestResult::kError);
+        return m_lifecycle.OnRequestResult(m_now, RequestResult::kError);
       case '1':
       case '2':
       case '3':
-        return m_lifecycle.OnReal(m_now, RequestResult::kAnswered,
-                                  WorkspaceName(std::string(1, event)));
+        return m_lifecycle.OnRequestResult(
+            m_now, RequestResult::kAnswered,
+            WorkspaceName(std::string(1, event)));
       case '!':
-        return m_lifecycle.OnReal(m_now, RequestResult::kError,
-                                  WorkspaceName("1"));
+        return m_lifecycle.OnRequestResult(m_now, RequestResult::kError,
+                                           WorkspaceName("1"));
       case '@':
-        return m_lifecycle.OnReal(m_now, RequestResult::kError,
-                                  WorkspaceName("2"));
+        return m_lifecycle.OnRequestResult(m_now, RequestResult::kError,
+                                           WorkspaceName("2"));
       case '#':
-        return m_lifecycle.OnReal(m_now, RequestResult::kError,
-                                  WorkspaceName("3"));
+        return m_lifecycle.OnRequestResult(m_now, RequestResult::kError,
+                                           WorkspaceName("3"));
       case 's':
-        return m_lifecycle.OnReal(m_now, RequestResult::kShed);
+        return m_lifecycle.OnRequestResult(m_now, RequestResult::kShed);
       case 'c':
-        return m_lifecycle.OnReal(m_now, RequestResult::kConnectFailed);
+        return m_lifecycle.OnRequestResult(m_now,
+                                           RequestResult::kConnectFailed);
       case 'b':
-        return m_lifecycle.OnReal(m_now, RequestResult::kBrokenOff);
+        return m_lifecycle.OnRequestResult(m_now, RequestResult::kBrokenOff);
       case '+':
         return m_lifecycle.OnProbe(m_now, true);
       case '-':
