--- a/source/core/measuring/budget_layout.cc
+++ b/source/core/measuring/budget_layout.cc
@@ -1,4 +1,4 @@
-// Cuts a budget into slots of whole probes.
+// Part of `budget_layout.h`.
 
 #include "core/measuring/budget_layout.h"
 
@@ -11,19 +11,19 @@
 constexpr std::uint64_t kMicro = 1'000'000;
 constexpr std::uint64_t kNanoTimesMicro = 1'000'000'000'000'000;
 
-// Rarer probes than one a day are none.
-constexpr std::uint64_t kLeastMicroprobes = 12;
+// Budgets below one probe a day allow none.
+constexpr std::uint64_t kMinMicroprobes = 12;
 
-// Beyond this no fleet spends it, and all arithmetic stays exact.
-constexpr double kMostProbesPerSecond = 1e6;
+// Cap that no fleet reaches, below which all arithmetic is exact.
+constexpr double kMaxProbesPerSecond = 1e6;
 
 std::uint64_t ToMicroprobes(double probes_per_second) {
-  // Also false for a value that is no number.
+  // Also false for NaN.
   if (!(probes_per_second > 0)) {
     return 0;
   }
   return static_cast<std::uint64_t>(
-      std::min(probes_per_second, kMostProbesPerSecond) * kMicro);
+      std::min(probes_per_second, kMaxProbesPerSecond) * kMicro);
 }
 
 }  // namespace
@@ -36,7 +36,7 @@
                            std::uint32_t probes_in_flight)
     : m_microprobes_per_second(microprobes_per_second),
       m_probes_in_flight(probes_in_flight) {
-  if (microprobes_per_second < kLeastMicroprobes || probes_in_flight == 0) {
+  if (microprobes_per_second < kMinMicroprobes || probes_in_flight == 0) {
     return;
   }
   const std::uint64_t whole = microprobes_per_second / kMicro;
@@ -45,15 +45,15 @@
   }
   m_probes_per_window =
       static_cast<std::uint32_t>(std::max<std::uint64_t>(whole, 1));
-  m_slot_count = std::min({m_probes_per_window, probes_in_flight, kMostSlots});
+  m_slot_count = std::min({m_probes_per_window, probes_in_flight, kMaxSlots});
 }
 
 std::optional<SlotShare> BudgetLayout::ShareOf(std::uint32_t slot) const {
   if (slot >= m_slot_count) {
     return std::nullopt;
   }
-  const std::uint32_t rest = m_probes_per_window % m_slot_count;
-  const std::uint32_t extra = slot < rest ? 1 : 0;
+  const std::uint32_t remainder = m_probes_per_window % m_slot_count;
+  const std::uint32_t extra = slot < remainder ? 1 : 0;
   return SlotShare{m_probes_per_window / m_slot_count + extra, m_window};
 }
 
--- a/source/core/measuring/budget_lease.cc
+++ b/source/core/measuring/budget_lease.cc
@@ -1,4 +1,5 @@
-// Takes, renews and gives up one slot, one request to the table at a time.
+// Part of `budget_lease.h`: acquires, renews and releases one slot, with one
+// table request at a time.
 
 #include "core/measuring/budget_lease.h"
 
@@ -51,9 +52,9 @@
   m_candidate.reset();
   m_is_layout_check_due = true;
   m_is_layout_write_due = false;
-  if (m_life.state() == LeaseState::kHeld) {
-    // The row must say soon that it belongs to the new budget: nobody is
-    // granted a slot before.
+  if (m_state_machine.state() == LeaseState::kHeld) {
+    // The row must be moved to the new budget soon, since no other slot is
+    // granted before.
     m_renew_at = now;
     m_next_attempt = now;
     return;
@@ -65,7 +66,7 @@
 void BudgetLease::OnNeed(TimePoint now, ProbeNeed need) {
   const bool is_more_urgent = need > m_need;
   m_need = need;
-  if (is_more_urgent && m_life.state() == LeaseState::kAbsent) {
+  if (is_more_urgent && m_state_machine.state() == LeaseState::kAbsent) {
     m_next_attempt = std::min(m_next_attempt, NextPoll(now));
   }
 }
@@ -77,19 +78,19 @@
     return;
   }
   if (m_slot && now >= TermEnd()) {
-    Drop(LeaseEvent::kLapsed, now);
+    DropSlot(LeaseEvent::kLapsed, now);
   }
   if (now < m_next_attempt) {
     return;
   }
-  switch (m_life.state()) {
+  switch (m_state_machine.state()) {
     case LeaseState::kAbsent:
-      StepAbsent(now, table);
+      StepWhenAbsent(now, table);
       return;
     case LeaseState::kHeld:
-      StepHeld(now, idle_at, table);
+      StepWhenHeld(now, idle_at, table);
       return;
-    case LeaseState::kUnsure:
+    case LeaseState::kOutcomeUnknown:
       Scan(now, Request::kReadBack, table);
       return;
     case LeaseState::kRequested:
@@ -102,11 +103,12 @@
   if (m_is_waiting) {
     return TimePoint::max();
   }
-  if (m_life.state() == LeaseState::kHeld) {
+  if (m_state_machine.state() == LeaseState::kHeld) {
     return HeldWakeup(idle_at);
   }
-  const bool is_asking = m_life.state() == LeaseState::kUnsure ||
-                         IsSlotWanted() || m_is_layout_check_due;
+  const bool is_asking =
+      m_state_machine.state() == LeaseState::kOutcomeUnknown ||
+      IsSlotWanted() || m_is_layout_check_due;
   return is_asking ? m_next_attempt : TimePoint::max();
 }
 
@@ -123,7 +125,7 @@
 }
 
 std::optional<HeldSlot> BudgetLease::Held() const {
-  if (m_life.state() != LeaseState::kHeld ||
+  if (m_state_machine.state() != LeaseState::kHeld ||
       m_layout.ShareOf(m_slot->index) != m_slot->share) {
     return std::nullopt;
   }
@@ -166,9 +168,9 @@
       return;
     case Request::kRelease:
       m_pacing.OnTurnEnded(now);
-      // Whatever came of it, the slot is not used here. If the row is still
-      // there, others take the slot when its term is over.
-      Drop(LeaseEvent::kLapsed, now);
+      // Whatever the outcome, this node no longer uses the slot. If the row
+      // still exists, other nodes take the slot when its term is over.
+      DropSlot(LeaseEvent::kLapsed, now);
       return;
     case Request::kReadBack:
       OnReadBack(now, reply);
@@ -176,7 +178,7 @@
   }
 }
 
-void BudgetLease::StepAbsent(TimePoint now, TableService& table) {
+void BudgetLease::StepWhenAbsent(TimePoint now, TableService& table) {
   if (m_is_layout_write_due) {
     WriteLayout(now, table);
     return;
@@ -190,10 +192,10 @@
   }
 }
 
-void BudgetLease::StepHeld(TimePoint now,
-                           TimePoint idle_at,
-                           TableService& table) {
-  if (!IsKept(now)) {
+void BudgetLease::StepWhenHeld(TimePoint now,
+                               TimePoint idle_at,
+                               TableService& table) {
+  if (!IsSlotKept(now)) {
     if (now >= idle_at) {
       Release(now, table);
     }
@@ -214,8 +216,8 @@
     Renew(now, table);
     return;
   }
-  // The table has a newer budget than this node knows of. The lease ends with
-  // its term unless the contract comes before.
+  // The table has a newer budget than this node. The lease ends with its term
+  // unless the node receives the contract before.
   m_next_attempt = NextPoll(now);
   m_is_read_back_due = true;
 }
@@ -229,7 +231,7 @@
   if (reply.status != TableStatus::kOk) {
     return;
   }
-  TakeLayout(reply.rows);
+  UpdateTableLayout(reply.rows);
   const std::vector<FreeSlot> free =
       m_observer.FindFree(now, reply.rows, m_layout);
   if (IsTableLayoutNew()) {
@@ -263,8 +265,8 @@
 }
 
 void BudgetLease::OnLayoutWritten(TimePoint now, const TableReply& reply) {
-  // What stands in the table now is read before anything is built on it: the
-  // budget here may have changed meanwhile, or another node was first.
+  // The table is read again before the layout is used: this node's budget may
+  // have changed since, or another node may have written first.
   m_is_read_back_due = true;
   const bool is_answered = reply.status == TableStatus::kOk ||
                            reply.status == TableStatus::kConditionFailed;
@@ -278,7 +280,7 @@
   slot.layout = m_layout;
   slot.requested_at = now;
   m_slot = slot;
-  m_life.Handle(LeaseEvent::kRequested);
+  m_state_machine.Handle(LeaseEvent::kRequested);
   Submit(now, Request::kAcquire, SlotTransaction(slot), table);
 }
 
@@ -289,24 +291,24 @@
       BeginHolding(now);
       return;
     case TableStatus::kUnknown:
-      m_life.Handle(LeaseEvent::kAnswerLost);
+      m_state_machine.Handle(LeaseEvent::kAnswerLost);
       m_next_attempt = now;
       return;
     case TableStatus::kConditionFailed:
     case TableStatus::kUnavailable:
-      Drop(LeaseEvent::kRefused, now);
+      DropSlot(LeaseEvent::kRefused, now);
       return;
   }
 }
 
 void BudgetLease::BeginHolding(TimePoint now) {
-  m_life.Handle(LeaseEvent::kGranted);
+  m_state_machine.Handle(LeaseEvent::kGranted);
   m_slot->granted_at = now;
   m_renew_at = m_slot->requested_at + m_slot->term / 2;
   m_next_attempt = now;
-  m_is_read_back_due = !m_pacing.HasSlotForAll(m_layout);
+  m_is_read_back_due = !m_pacing.HasSlotForEveryMember(m_layout);
   if (now >= TermEnd()) {
-    Drop(LeaseEvent::kLapsed, now);
+    DropSlot(LeaseEvent::kLapsed, now);
   }
 }
 
@@ -324,20 +326,20 @@
   if (reply.status == TableStatus::kOk) {
     const RowVersion version =
         VersionOf(reply.rows, m_keys.Slot(m_slot->index));
-    TakeRenewal(version);
+    ApplyRenewal(version);
     m_next_attempt = now;
     return;
   }
-  // The old term goes on; whether the new one began only the table knows.
+  // The old term continues; only the table shows whether the new one has begun.
   m_is_read_back_due = true;
   m_next_attempt =
       reply.status == TableStatus::kUnavailable ? NextPoll(now) : now;
 }
 
-void BudgetLease::TakeRenewal(RowVersion version) {
+void BudgetLease::ApplyRenewal(RowVersion version) {
   m_slot = std::exchange(m_renewal, std::nullopt);
   m_slot->version = version;
-  m_is_read_back_due = !m_pacing.HasSlotForAll(m_layout);
+  m_is_read_back_due = !m_pacing.HasSlotForEveryMember(m_layout);
   m_renew_at = m_slot->requested_at + m_slot->term / 2;
 }
 
@@ -346,7 +348,7 @@
   const std::string key = m_keys.Slot(m_slot->index);
   transact.conditions = {{key, m_slot->version}};
   transact.deletes = {key};
-  m_life.Handle(LeaseEvent::kReleaseRequested);
+  m_state_machine.Handle(LeaseEvent::kReleaseRequested);
   Submit(now, Request::kRelease, std::move(transact), table);
 }
 
@@ -355,26 +357,28 @@
     m_next_attempt = NextPoll(now);
     return;
   }
-  TakeLayout(reply.rows);
+  UpdateTableLayout(reply.rows);
   m_next_attempt = now;
   m_is_read_back_due = false;
   const Row* row = FindRow(reply.rows, m_keys.Slot(m_slot->index));
   const auto slot = row ? DecodeSlotRow(row->value) : std::nullopt;
   if (!slot || slot->holder != m_self) {
-    const bool is_unsure = m_life.state() == LeaseState::kUnsure;
-    Drop(is_unsure ? LeaseEvent::kRefused : LeaseEvent::kLapsed, now);
+    const bool is_outcome_unknown =
+        m_state_machine.state() == LeaseState::kOutcomeUnknown;
+    DropSlot(is_outcome_unknown ? LeaseEvent::kRefused : LeaseEvent::kLapsed,
+             now);
     return;
   }
-  OnReadBackOwn(now, reply.rows, *row, slot->nonce);
+  OnReadBackOwnRow(now, reply.rows, *row, slot->nonce);
 }
 
-void BudgetLease::OnReadBackOwn(TimePoint now,
-                                const std::vector<Row>& rows,
-                                const Row& row,
-                                std::uint64_t nonce) {
-  if (m_life.state() == LeaseState::kUnsure) {
+void BudgetLease::OnReadBackOwnRow(TimePoint now,
+                                   const std::vector<Row>& rows,
+                                   const Row& row,
+                                   std::uint64_t nonce) {
+  if (m_state_machine.state() == LeaseState::kOutcomeUnknown) {
     if (nonce != m_slot->nonce) {
-      Drop(LeaseEvent::kRefused, now);
+      DropSlot(LeaseEvent::kRefused, now);
       return;
     }
     m_slot->version = row.version;
@@ -382,19 +386,19 @@
     return;
   }
   if (m_renewal && nonce == m_renewal->nonce) {
-    TakeRenewal(row.version);
+    ApplyRenewal(row.version);
     return;
   }
   m_is_other_slot_free = IsOtherSlotFree(now, rows);
-  // The renewal has not taken effect, or it is an earlier one that did late:
-  // the next one must go against this version, and no term grows meanwhile.
+  // The renewal has not taken effect, or an earlier one took effect late. The
+  // next one must use this version, and the term is not extended until then.
   m_renewal.reset();
   m_slot->version = row.version;
 }
 
-// --- What is known ----------------------------------------------------------
+// --- Table state and lease conditions ---------------------------------------
 
-void BudgetLease::TakeLayout(const std::vector<Row>& rows) {
+void BudgetLease::UpdateTableLayout(const std::vector<Row>& rows) {
   const Row* row = FindRow(rows, m_keys.layout());
   m_table_layout = row ? DecodeLayoutRow(row->value) : std::nullopt;
   m_table_layout_version = row ? row->version : kNoRow;
@@ -411,7 +415,7 @@
 
 bool BudgetLease::IsTableLayoutNew() const {
   if (!m_table_layout) {
-    // A later release may write it in a form that this one does not know.
+    // A later release may write the row in an unknown format.
     return m_table_layout_version != kNoRow;
   }
   return m_table_layout->layout != m_layout &&
@@ -428,8 +432,8 @@
   return transact;
 }
 
-void BudgetLease::Drop(LeaseEvent event, TimePoint now) {
-  m_life.Handle(event);
+void BudgetLease::DropSlot(LeaseEvent event, TimePoint now) {
+  m_state_machine.Handle(event);
   LogLine(LogLevel::kDebug, "measuring.slot_dropped")
       .Add("slot", m_slot->index);
   m_slot.reset();
@@ -450,18 +454,18 @@
 }
 
 bool BudgetLease::IsRenewalWanted() const {
-  return HasSlotForAll() || m_slot->layout != m_layout;
+  return IsUncontended() || m_slot->layout != m_layout;
 }
 
-bool BudgetLease::IsKept(TimePoint now) const {
+bool BudgetLease::IsSlotKept(TimePoint now) const {
   if (m_need == ProbeNeed::kNone || !Held()) {
     return false;
   }
-  return HasSlotForAll() || now < UsableUntil();
+  return IsUncontended() || now < UsableUntil();
 }
 
-bool BudgetLease::HasSlotForAll() const {
-  return m_is_other_slot_free || m_pacing.HasSlotForAll(m_layout);
+bool BudgetLease::IsUncontended() const {
+  return m_is_other_slot_free || m_pacing.HasSlotForEveryMember(m_layout);
 }
 
 TimePoint BudgetLease::TermEnd() const {
--- a/source/core/measuring/budget_lease.h
+++ b/source/core/measuring/budget_lease.h
@@ -1,11 +1,11 @@
-// The lease of one slot of a service's measuring budget in the table. The
-// measuring of servers must never exceed its budget, so there is no estimate
-// and no gossip in it: a slot has one row, a node holds it only by a committed
-// transaction on that row, and without the table a lease lapses.
+// Lease of one slot of a service's measuring budget in the table. Probes must
+// never exceed the budget, so the lease uses no estimates and no gossip: a slot
+// has one row, a node holds it only by a committed transaction on that row, and
+// a lease that cannot be renewed because the table is unavailable expires.
 //
-// Clocks of two nodes are never compared. A holder counts its term from before
-// it sent the request; others reuse a slot only after they have seen its row
-// unchanged for the term and a margin, or deleted by its holder.
+// Clocks of different nodes are never compared. A holder counts its term from
+// before it sent the request; other nodes reuse a slot only after they have
+// seen its row unchanged for the term and a margin, or deleted by its holder.
 
 #ifndef BULRUSHMOUNT_CORE_MEASURING_BUDGET_LEASE_H_
 #define BULRUSHMOUNT_CORE_MEASURING_BUDGET_LEASE_H_
@@ -29,13 +29,13 @@
 
 namespace bulrushmount {
 
-// A slot held.
+// A slot that this node holds.
 struct HeldSlot {
   SlotShare share;
-  // Probes may be decided in [usable_from, usable_until): the first is a whole
-  // window after the slot was known to be ours, so that no window holds probes
-  // of the last holder and of this one; the last is answered or given up
-  // before the term ends.
+  // Probes may be decided in [usable_from, usable_until). It begins one whole
+  // window after the grant was known, so that no window has probes of both the
+  // previous holder and this one. It ends early enough that the last probe is
+  // answered or timed out before the term ends.
   TimePoint usable_from;
   TimePoint usable_until;
 };
@@ -53,34 +53,34 @@
   BudgetLease(const BudgetLease&) = delete;
   BudgetLease& operator=(const BudgetLease&) = delete;
 
-  // The contract in force, at every change of the revision too; a layout
-  // without slots if there is no contract. A lower budget binds this node at
-  // once.
+  // Sets the budget of the contract in force; also called when only its
+  // revision changes. A layout without slots means that there is no contract. A
+  // lower budget applies to this node immediately.
   void OnBudget(TimePoint now, Revision revision, const BudgetLayout& layout);
 
   void OnFleetSize(const FleetSize& size) { m_pacing.OnFleetSize(size); }
 
-  // How much the slot is wanted. kNone gives it up.
+  // Sets how urgently the slot is needed; kNone releases it.
   void OnNeed(TimePoint now, ProbeNeed need);
 
-  // Sends what is due to the table; at most one request is under way.
-  // `idle_at`: no probe of this node is in flight from then on, so its slot may
-  // be given up. `table` is used within this call only; its reply is taken if
-  // this object still lives.
+  // Sends the next due request to the table; at most one is pending. `idle_at`:
+  // time from which no probe of this node is in flight, so its slot may be
+  // released. `table` is used only during this call; its reply is ignored if
+  // this object was destroyed.
   void OnTimer(TimePoint now, TimePoint idle_at, TableService& table);
 
-  // TimePoint::max() when only another call can change something. May change
-  // with every call and with every reply of the table.
+  // TimePoint::max() if only another call can change something. May change with
+  // every call and with every reply of the table.
   TimePoint NextWakeup(TimePoint idle_at) const;
 
-  // The slot held, whether its time to be used is still to come or over; empty
-  // as soon as the budget does not cover it.
+  // The held slot, also before and after the time in which it may be used;
+  // empty as soon as the budget does not include it.
   std::optional<HeldSlot> Held() const;
 
-  LeaseState state() const { return m_life.state(); }
+  LeaseState state() const { return m_state_machine.state(); }
 
  private:
-  // What others' rows looked like when this node first saw them so.
+  // Version of another node's row and when this node first saw it.
   struct Observation {
     RowVersion version;
     TimePoint first_seen;
@@ -92,12 +92,13 @@
     std::uint64_t nonce = 0;
     Duration term{};
     SlotShare share;
-    // The budget that the row says it belongs to.
+    // Budget that the row belongs to.
     BudgetLayout layout;
-    // When the request that was granted was sent: the term counts from then.
+    // Time at which the granted request was sent, from which the term counts.
     TimePoint requested_at;
-    // When the first grant was known. The last holder may have probed until
-    // just before the grant, so this, not `requested_at`, begins the wait.
+    // Time at which the first grant was known. The previous holder may have
+    // sent probes until just before the grant, so the wait before the first
+    // probe counts from this, not from `requested_at`.
     TimePoint granted_at;
   };
 
@@ -116,9 +117,9 @@
               TableService& table);
   void OnReply(TimePoint now, Request kind, const TableReply& reply);
 
-  // One step each, by the state of the lease.
-  void StepAbsent(TimePoint now, TableService& table);
-  void StepHeld(TimePoint now, TimePoint idle_at, TableService& table);
+  // Each does the next step for one state of the lease.
+  void StepWhenAbsent(TimePoint now, TableService& table);
+  void StepWhenHeld(TimePoint now, TimePoint idle_at, TableService& table);
 
   void Scan(TimePoint now, Request kind, TableService& table);
   void OnScanned(TimePoint now, const TableReply& reply);
@@ -129,31 +130,33 @@
   void BeginHolding(TimePoint now);
   void Renew(TimePoint now, TableService& table);
   void OnRenewed(TimePoint now, const TableReply& reply);
-  void TakeRenewal(RowVersion version);
+  void ApplyRenewal(RowVersion version);
   void Release(TimePoint now, TableService& table);
   void OnReadBack(TimePoint now, const TableReply& reply);
-  void OnReadBackOwn(TimePoint now,
-                     const std::vector<Row>& rows,
-                     const Row& row,
-                     std::uint64_t nonce);
+  void OnReadBackOwnRow(TimePoint now,
+                        const std::vector<Row>& rows,
+                        const Row& row,
+                        std::uint64_t nonce);
   bool IsOtherSlotFree(TimePoint now, const std::vector<Row>& rows);
 
-  // Takes what a reply says of the layout row; `rows` are all rows.
-  void TakeLayout(const std::vector<Row>& rows);
-  // The table's layout is another one and older than ours, or newer.
+  // Updates m_table_layout from a reply; `rows` are all rows.
+  void UpdateTableLayout(const std::vector<Row>& rows);
+  // Whether the table's layout differs from this node's and is older, or newer.
   bool IsTableLayoutOld() const;
   bool IsTableLayoutNew() const;
 
-  // Conditions on the layout row and on the row of `slot`.
+  // A write of the row of `slot`, conditional on the layout row and the slot's
+  // row.
   TableTransact SlotTransaction(const Slot& slot) const;
-  void Drop(LeaseEvent event, TimePoint now);
+  void DropSlot(LeaseEvent event, TimePoint now);
 
   bool IsSlotWanted() const;
-  // Renewed when no node waits for it, or to move it to the new budget.
+  // The slot is renewed if no other node waits for it, or to move it to the new
+  // budget.
   bool IsRenewalWanted() const;
-  bool IsKept(TimePoint now) const;
-  // Nobody waits for this one.
-  bool HasSlotForAll() const;
+  bool IsSlotKept(TimePoint now) const;
+  // Whether no other node waits for this slot.
+  bool IsUncontended() const;
   TimePoint TermEnd() const;
   TimePoint UsableUntil() const;
   TimePoint HeldWakeup(TimePoint idle_at) const;
@@ -169,34 +172,35 @@
   BudgetLayout m_layout;
   ProbeNeed m_need = ProbeNeed::kNone;
 
-  LeaseLife m_life;
-  // Set exactly while m_life is not absent; used only while it is held.
+  LeaseStateMachine m_state_machine;
+  // Set exactly while the lease is not absent; used only while it is held.
   std::optional<Slot> m_slot;
-  // A free slot to ask for; set only while m_life is absent.
+  // A free slot to request; set only while the lease is absent.
   std::optional<Slot> m_candidate;
-  // The renewal under way, or whose outcome is unknown.
+  // The renewal that is pending or has an unknown outcome.
   std::optional<Slot> m_renewal;
-  // The rows must be read again before the next renewal.
+  // Whether the rows must be read again before the next renewal.
   bool m_is_read_back_due = false;
-  // As last seen, there was a free slot besides ours.
+  // Whether there was another free slot in the last read.
   bool m_is_other_slot_free = false;
-  // The budget changed, and the table may not have been told.
+  // Whether the budget changed and the table may not have the new one yet.
   bool m_is_layout_check_due = false;
-  // The table's layout was just seen to be old.
+  // Whether the last read showed that the table's layout is old.
   bool m_is_layout_write_due = false;
-  // When the slot is renewed next.
+  // Time of the next renewal.
   TimePoint m_renew_at;
 
-  // What the table last said of the layout row.
+  // Layout row as last read.
   std::optional<LayoutRow> m_table_layout;
   RowVersion m_table_layout_version;
   SlotObserver m_observer;
 
-  // At most one request is under way, so replies cannot overtake each other.
+  // Whether a request is pending. At most one is, so replies cannot overtake
+  // each other.
   bool m_is_waiting = false;
-  // No request is sent before.
+  // Earliest time of the next request.
   TimePoint m_next_attempt;
-  // Expires with the object, so that a late reply finds nothing.
+  // Expires with the object, so that late replies are ignored.
   std::shared_ptr<bool> m_alive;
 };
 
--- a/source/core/measuring/lease_life.cc
+++ b/source/core/measuring/lease_life.cc
@@ -1,4 +1,4 @@
-// The table of the lease's states and events, as a Boost.MSM machine.
+// Part of `lease_state_machine.h`, with Boost.MSM.
 
 #include "core/measuring/lease_life.h"
 
@@ -25,7 +25,7 @@
 struct ReleaseRequested {};
 struct Lapsed {};
 
-// A state that says, as it is entered, which one it is.
+// Stores its value in the machine when it is entered.
 template <LeaseState kState>
 struct State : front::state<> {
   template <typename Event, typename Machine>
@@ -38,7 +38,7 @@
 using Waiting = State<LeaseState::kRequested>;
 using Held = State<LeaseState::kHeld>;
 using Releasing = State<LeaseState::kReleasing>;
-using Unsure = State<LeaseState::kUnsure>;
+using OutcomeUnknown = State<LeaseState::kOutcomeUnknown>;
 
 struct MachineDefinition : front::state_machine_def<MachineDefinition> {
   using initial_state = Absent;
@@ -49,20 +49,20 @@
   using Row = front::Row<From, Event, To, front::none, front::none>;
 
   // clang-format off
-  // Boost.MSM looks for this name.
+  // Boost.MSM requires this name.
   // NOLINTNEXTLINE(readability-identifier-naming)
   struct transition_table : vector<
       Row<Absent,    Requested,        Waiting>,
       Row<Waiting,   Granted,          Held>,
       Row<Waiting,   Refused,          Absent>,
-      Row<Waiting,   AnswerLost,       Unsure>,
+      Row<Waiting,   AnswerLost,       OutcomeUnknown>,
       Row<Waiting,   Lapsed,           Absent>,
       Row<Held,      ReleaseRequested, Releasing>,
       Row<Held,      Lapsed,           Absent>,
       Row<Releasing, Lapsed,           Absent>,
-      Row<Unsure,    Granted,          Held>,
-      Row<Unsure,    Refused,          Absent>,
-      Row<Unsure,    Lapsed,           Absent>> {};
+      Row<OutcomeUnknown,    Granted,          Held>,
+      Row<OutcomeUnknown,    Refused,          Absent>,
+      Row<OutcomeUnknown,    Lapsed,           Absent>> {};
   // clang-format on
 
   template <typename Machine, typename Event>
@@ -77,17 +77,17 @@
 
 }  // namespace
 
-struct LeaseLife::Impl {
+struct LeaseStateMachine::Impl {
   Machine machine;
 };
 
-LeaseLife::LeaseLife() : m_impl(std::make_unique<Impl>()) {
+LeaseStateMachine::LeaseStateMachine() : m_impl(std::make_unique<Impl>()) {
   m_impl->machine.start();
 }
 
-LeaseLife::~LeaseLife() = default;
+LeaseStateMachine::~LeaseStateMachine() = default;
 
-void LeaseLife::Handle(LeaseEvent event) {
+void LeaseStateMachine::Handle(LeaseEvent event) {
   Machine& machine = m_impl->machine;
   switch (event) {
     case LeaseEvent::kRequested:
@@ -111,7 +111,7 @@
   }
 }
 
-LeaseState LeaseLife::state() const {
+LeaseState LeaseStateMachine::state() const {
   return m_impl->machine.current;
 }
 
--- a/source/core/measuring/lease_life.h
+++ b/source/core/measuring/lease_life.h
@@ -1,5 +1,5 @@
-// The life cycle of a lease of a measuring slot. Only a held lease is used; in
-// every other state the slot counts as taken by somebody.
+// State machine of a lease of a measuring slot. The slot is used only in the
+// held state; in every other state it counts as possibly held by another node.
 
 #ifndef BULRUSHMOUNT_CORE_MEASURING_LEASE_LIFE_H_
 #define BULRUSHMOUNT_CORE_MEASURING_LEASE_LIFE_H_
@@ -11,38 +11,39 @@
 
 enum class LeaseState : std::uint8_t {
   kAbsent,
-  // The request for the slot is under way.
+  // The request for the slot is pending.
   kRequested,
   kHeld,
-  // Given up here; the table is being told.
+  // Not used by this node any more; the request to delete the row is pending.
   kReleasing,
-  // An answer was lost: only reading back tells whether the slot is ours.
-  kUnsure,
+  // An answer was lost. Only reading the row shows whether this node holds the
+  // slot.
+  kOutcomeUnknown,
 };
 
 enum class LeaseEvent : std::uint8_t {
   kRequested,
-  // The table says that the slot is ours, or reading back does.
+  // The table granted the slot, or the row that was read shows that it did.
   kGranted,
-  // The table says that the slot is not ours.
+  // The table refused the slot, or the row that was read is not this node's.
   kRefused,
   kAnswerLost,
-  // The slot is no longer used here.
+  // The slot is no longer used by this node.
   kReleaseRequested,
-  // The term has ended, the row is another's, or the release is over.
+  // The term has ended, another node holds the row, or the release is complete.
   kLapsed,
 };
 
-class LeaseLife {
+class LeaseStateMachine {
  public:
-  LeaseLife();
-  ~LeaseLife();
+  LeaseStateMachine();
+  ~LeaseStateMachine();
 
-  LeaseLife(const LeaseLife&) = delete;
-  LeaseLife& operator=(const LeaseLife&) = delete;
+  LeaseStateMachine(const LeaseStateMachine&) = delete;
+  LeaseStateMachine& operator=(const LeaseStateMachine&) = delete;
 
-  // An event that the state does not expect is a broken invariant and stops
-  // the process.
+  // An event without a transition from the current state is a broken invariant
+  // and aborts the process.
   void Handle(LeaseEvent event);
 
   LeaseState state() const;
--- a/source/core/measuring/lease_pacing.h
+++ b/source/core/measuring/lease_pacing.h
@@ -1,6 +1,6 @@
-// How often a node asks the table for a slot and how long it keeps one. All of
-// it is estimate: it spreads the table's load and the turns, and never decides
-// what is allowed.
+// Determines how often a node polls the table for a slot and how long it keeps
+// one. It uses estimates of the fleet's size to spread the table's load and the
+// turns; it never decides what the budget allows.
 
 #ifndef BULRUSHMOUNT_CORE_MEASURING_LEASE_PACING_H_
 #define BULRUSHMOUNT_CORE_MEASURING_LEASE_PACING_H_
@@ -23,22 +23,24 @@
 
   void OnFleetSize(const FleetSize& size) { m_size = size; }
 
-  // A slot was given up after its use.
+  // A slot was released after its use.
   void OnTurnEnded(TimePoint now) { m_last_turn = now; }
 
-  // Whether every member can have a slot for itself.
-  bool HasSlotForAll(const BudgetLayout& layout) const;
+  // Whether there is a slot for every member.
+  bool HasSlotForEveryMember(const BudgetLayout& layout) const;
 
-  // Long enough that the whole fleet's writes stay near their target.
+  // Term of a lease, long enough that the fleet's writes stay near their target
+  // rate.
   Duration Term(const BudgetLayout& layout) const;
 
-  // When to ask again, spread so that nodes do not ask in step. A node whose
-  // last turn is long ago asks more often and so comes before one that has
-  // just had its turn: lots alone would leave some unprobed for many turns.
+  // Time of the next poll, randomized so that nodes do not poll in step. A node
+  // polls more often the longer ago its last turn was, so that it gets a slot
+  // before one that has just had a turn; random polls alone would leave some
+  // targets unprobed for many turns.
   TimePoint NextPoll(TimePoint now, ProbeNeed need, const BudgetLayout& layout);
 
  private:
-  Duration Poll() const;
+  Duration PollInterval() const;
   double TurnFactor(TimePoint now, const BudgetLayout& layout) const;
 
   MeasuringSettings m_settings;
--- a/source/core/measuring/probe_credit.cc
+++ b/source/core/measuring/probe_credit.cc
@@ -1,4 +1,4 @@
-// Counts sends over the sliding window, and the one probe in flight.
+// Part of `probe_credit.h`.
 
 #include "core/measuring/probe_credit.h"
 
@@ -8,30 +8,30 @@
 
 namespace {
 
-// A share of more probes a window is used up to this many.
-constexpr std::size_t kMostProbes = 64;
+// Maximum number of probes of a share that are used in a window.
+constexpr std::size_t kMaxProbes = 64;
 
 }  // namespace
 
 TimePoint ProbeCredit::EarliestProbe(TimePoint now,
                                      const SlotShare& share,
                                      const MeasuringSettings& settings) const {
-  const std::size_t probes = std::min<std::size_t>(share.probes, kMostProbes);
+  const std::size_t probes = std::min<std::size_t>(share.probes, kMaxProbes);
   if (probes == 0) {
     return TimePoint::max();
   }
   TimePoint earliest = now;
-  if (m_spent.size() >= probes) {
-    const TimePoint oldest = m_spent[m_spent.size() - probes];
+  if (m_sent.size() >= probes) {
+    const TimePoint oldest = m_sent[m_sent.size() - probes];
     earliest = std::max(earliest, oldest + settings.Spacing(share.window));
   }
   return std::max(earliest, IdleAt());
 }
 
 void ProbeCredit::Spend(TimePoint now, ProbeId probe, TimePoint gives_up_at) {
-  m_spent.push_back(now);
-  if (m_spent.size() > kMostProbes) {
-    m_spent.pop_front();
+  m_sent.push_back(now);
+  if (m_sent.size() > kMaxProbes) {
+    m_sent.pop_front();
   }
   m_in_flight = InFlight{probe, gives_up_at};
 }
--- a/source/core/measuring/probe_credit.h
+++ b/source/core/measuring/probe_credit.h
@@ -1,5 +1,5 @@
-// What one holder of a slot has spent of it: the probes of the last window and
-// the one in flight. Nothing is saved up.
+// Probes that the holder of a slot has sent: those of the last window and the
+// one in flight. Unused probes do not accumulate.
 
 #ifndef BULRUSHMOUNT_CORE_MEASURING_PROBE_CREDIT_H_
 #define BULRUSHMOUNT_CORE_MEASURING_PROBE_CREDIT_H_
@@ -16,24 +16,24 @@
 
 class ProbeCredit {
  public:
-  // The earliest moment at or after `now` at which `share` allows a probe;
-  // TimePoint::max() if only an answer can tell.
+  // Earliest time from `now` on at which `share` allows a probe;
+  // TimePoint::max() until the probe in flight ends.
   TimePoint EarliestProbe(TimePoint now,
                           const SlotShare& share,
                           const MeasuringSettings& settings) const;
 
-  // `gives_up_at`: when a probe without an answer ceases to count.
+  // `gives_up_at`: time from which a probe without an answer no longer counts.
   void Spend(TimePoint now, ProbeId probe, TimePoint gives_up_at);
 
-  // The target has done the work of this probe.
+  // The target has answered this probe.
   void OnAnswered(ProbeId probe);
 
-  // No answer came. The target may still work on it, so it counts until its
-  // time-out has passed.
+  // The probe failed. The target may still be processing it, so it counts until
+  // its timeout.
   void OnFailed(ProbeId probe);
 
-  // From when on nothing counts as in flight: TimePoint::min() if nothing does
-  // now, TimePoint::max() while no answer and no failure has come.
+  // Time from which no probe counts as in flight: TimePoint::min() if none does
+  // now, TimePoint::max() until the probe in flight is answered or fails.
   TimePoint IdleAt() const;
 
  private:
@@ -44,8 +44,8 @@
     bool has_failed = false;
   };
 
-  // Rising.
-  std::deque<TimePoint> m_spent;
+  // Send times, in increasing order.
+  std::deque<TimePoint> m_sent;
   std::optional<InFlight> m_in_flight;
 };
 
--- a/source/core/measuring/probe_need.h
+++ b/source/core/measuring/probe_need.h
@@ -1,5 +1,5 @@
-// How much a probe of a target is worth: what target_state says and what the
-// measuring budget is spent by.
+// How much a target needs a probe. It is determined by the target's lifecycle,
+// and decides how the measuring budget is spent.
 
 #ifndef BULRUSHMOUNT_CORE_MEASURING_PROBE_NEED_H_
 #define BULRUSHMOUNT_CORE_MEASURING_PROBE_NEED_H_
@@ -8,15 +8,16 @@
 
 namespace bulrushmount {
 
-// In rising order of worth.
+// In order of increasing need.
 enum class ProbeNeed : std::uint8_t {
-  // Real answers tell all there is to know, or the target takes no new work.
+  // Recent answers to requests make probes unnecessary, or the target gets no
+  // new requests.
   kNone,
-  // It serves, but no real answer has come of late.
+  // It serves, but no request was answered recently.
   kIdle,
   // Within its cold start.
   kWarming,
-  // It takes no new work until evidence says that it recovered.
+  // It gets no new requests until there is evidence that it has recovered.
   kSuspect,
 };
 
--- a/source/core/measuring/probe_scheduler.cc
+++ b/source/core/measuring/probe_scheduler.cc
@@ -1,4 +1,5 @@
-// Brings together the need of the target, the slot leased and the credit spent.
+// Part of `probe_scheduler.h`: combines the target's need, the leased slot and
+// the used credit.
 
 #include "core/measuring/probe_scheduler.h"
 
@@ -17,7 +18,8 @@
   if (service == m_service) {
     return;
   }
-  // A slot of the earlier service is not used from here on and lapses.
+  // The slot of the earlier service is not used any more, and its lease
+  // expires.
   m_lease.reset();
   m_service = service;
   if (!service) {
@@ -63,12 +65,12 @@
   if (!m_lease) {
     return std::nullopt;
   }
-  const std::optional<ProbeOrder> order = TakeOrder(now);
+  const std::optional<ProbeOrder> order = NextOrder(now);
   m_lease->OnTimer(now, m_credit.IdleAt(), table);
   return order;
 }
 
-std::optional<ProbeOrder> ProbeScheduler::TakeOrder(TimePoint now) {
+std::optional<ProbeOrder> ProbeScheduler::NextOrder(TimePoint now) {
   if (now < NextProbe(now)) {
     return std::nullopt;
   }
--- a/source/core/measuring/probe_scheduler.h
+++ b/source/core/measuring/probe_scheduler.h
@@ -1,6 +1,6 @@
-// Decides when the owner probes the target beside it. It spends the node's
-// share of the measuring budget where a probe is worth most, and checks the
-// budget at the moment of the send.
+// Decides when an owner probes its target. It spends the node's share of the
+// measuring budget where a probe is needed most, and checks the budget at the
+// time of the send.
 
 #ifndef BULRUSHMOUNT_CORE_MEASURING_PROBE_SCHEDULER_H_
 #define BULRUSHMOUNT_CORE_MEASURING_PROBE_SCHEDULER_H_
@@ -20,14 +20,15 @@
 
 namespace bulrushmount {
 
-// Send the target beside this node one probe.
+// Instruction to send one probe to the node's target.
 struct ProbeOrder {
   ProbeId probe;
-  // The budget covers a probe whose bytes leave before this moment. Later it
-  // must be dropped and reported as failed: the node was stopped in between,
-  // and the share may be another's by now.
+  // The budget covers a probe that is sent before this time. Later it must be
+  // dropped and reported as failed, since the process was suspended in between
+  // and another node may hold the slot by now.
   TimePoint valid_until;
-  // The connection must be closed and the probe reported as failed then.
+  // Time at which the connection must be closed and the probe reported as
+  // failed.
   TimePoint gives_up_at;
 };
 
@@ -38,25 +39,26 @@
                  const MeasuringSettings& settings,
                  RandomSource& random);
 
-  // The service of the target beside this node; empty when it is gone.
+  // Sets the service of the node's target; empty if there is no target.
   void OnTarget(TimePoint now, const std::optional<ServiceName>& service);
 
-  // The measuring contract in force, at every change of the revision too;
-  // null if there is none. A revision below the last one is late and ignored.
+  // Sets the measuring contract in force; null if there is none. Also called
+  // when only the revision changes. A revision below the last one is late and
+  // ignored.
   void OnContract(TimePoint now,
                   Revision revision,
                   const MeasuringTerms* terms);
 
   void OnFleetSize(const FleetSize& size);
 
-  // From `TargetLifecycle::Need`, after each event and timer of the target's
-  // life.
+  // Sets the result of `TargetLifecycle::Need`; called after each event and
+  // timer of the target.
   void OnNeed(TimePoint now, ProbeNeed need);
 
-  // Call when `NextWakeup` has come.
+  // Call it at `NextWakeup`.
   std::optional<ProbeOrder> OnTimer(TimePoint now, TableService& table);
 
-  // For each order exactly one of these; an answer to an unknown probe is
+  // Call exactly one of these for each order. An answer to an unknown probe is
   // ignored.
   void OnProbeAnswered(TimePoint now, ProbeId probe);
   void OnProbeFailed(TimePoint now, ProbeId probe);
@@ -65,11 +67,11 @@
   TimePoint NextWakeup() const;
 
  private:
-  // Spends the credit for a probe if one may be sent now.
-  std::optional<ProbeOrder> TakeOrder(TimePoint now);
+  // Uses credit for a probe if one may be sent now.
+  std::optional<ProbeOrder> NextOrder(TimePoint now);
   void ApplyBudget(TimePoint now);
   Duration Interval() const;
-  // The earliest moment for the next probe; TimePoint::max() if there is none.
+  // Earliest time of the next probe; TimePoint::max() if there is none.
   TimePoint NextProbe(TimePoint now) const;
 
   const NodeId m_self;
@@ -81,9 +83,9 @@
   Revision m_revision;
   FleetSize m_size;
   ProbeNeed m_need = ProbeNeed::kNone;
-  // Set exactly if m_service is.
+  // Set if and only if m_service is.
   std::unique_ptr<BudgetLease> m_lease;
-  // Outlives the lease: probes in flight go on counting.
+  // Outlives the lease, since its probes in flight still count.
   ProbeCredit m_credit;
   std::optional<TimePoint> m_last_probe;
   TimePoint m_last_call;
--- a/source/core/measuring/share_rows.cc
+++ b/source/core/measuring/share_rows.cc
@@ -1,4 +1,5 @@
-// The rows as JSON. All numbers are whole, so they are read back as written.
+// Part of `share_rows.h`. All numbers are integers, so values are equal after
+// they were written and read back.
 
 #include "core/measuring/share_rows.h"
 
@@ -18,7 +19,7 @@
           {"probes_in_flight", layout.probes_in_flight()}};
 }
 
-// Empty unless the field is there and a whole number of `Number`'s range.
+// Empty unless the field exists and is an integer in the range of `Number`.
 template <typename Number>
 std::optional<Number> Field(const json::object& object, std::string_view key) {
   const json::value* value = object.if_contains(key);
--- a/source/core/measuring/share_rows.h
+++ b/source/core/measuring/share_rows.h
@@ -1,7 +1,7 @@
-// The rows of the table that the measuring budget stands in, as JSON.
+// Table rows of the measuring budget, in JSON.
 //
-//   probe-share/<service>/layout       the budget that slots are leased under
-//   probe-share/<service>/slot/<nnnn>  who holds one slot
+//   probe-share/<service>/layout       the budget under which slots are leased
+//   probe-share/<service>/slot/<nnnn>  the holder of one slot
 
 #ifndef BULRUSHMOUNT_CORE_MEASURING_SHARE_ROWS_H_
 #define BULRUSHMOUNT_CORE_MEASURING_SHARE_ROWS_H_
@@ -21,11 +21,11 @@
  public:
   explicit ShareKeys(const ServiceName& service);
 
-  // Of all rows of the service.
+  // Prefix of all rows of the service.
   const std::string& prefix() const { return m_prefix; }
   const std::string& layout() const { return m_layout; }
   std::string Slot(std::uint32_t index) const;
-  // Empty for any other key.
+  // Slot index of a slot row's key; empty for any other key.
   std::optional<std::uint32_t> IndexOf(std::string_view key) const;
 
  private:
@@ -36,27 +36,28 @@
 
 // Every lease is granted and renewed on condition that this row is unchanged.
 // So once a node has written an operator's new budget here, no lease under the
-// old one lives longer than its term, also at nodes that have not heard.
+// old one lasts longer than its term, even on nodes that have not received the
+// new one.
 struct LayoutRow {
-  // Of the configuration that the writer had in force.
+  // Revision of the writer's configuration.
   Revision revision;
   BudgetLayout layout;
 };
 
 struct SlotRow {
   NodeId holder;
-  // Drawn anew at each grant and renewal, so that its writer knows its own
-  // work when the answer was lost.
+  // Random for each grant and renewal, so that the writer recognizes its own
+  // write if the answer was lost.
   std::uint64_t nonce = 0;
   Duration term{};
-  // The budget that the slot is one of.
+  // Budget that the slot belongs to.
   BudgetLayout layout;
 };
 
 std::string Encode(const LayoutRow& row);
 std::string Encode(const SlotRow& row);
 
-// Empty if the value is of no known form.
+// Empty if the value has an unknown format.
 std::optional<LayoutRow> DecodeLayoutRow(std::string_view value);
 std::optional<SlotRow> DecodeSlotRow(std::string_view value);
 
--- a/source/core/measuring/slot_observer.cc
+++ b/source/core/measuring/slot_observer.cc
@@ -1,4 +1,5 @@
-// Keeps when each slot's row was first seen as it is.
+// Part of `slot_observer.h`: stores when the current version of each slot's row
+// was first seen.
 
 #include "core/measuring/slot_observer.h"
 
@@ -6,8 +7,9 @@
 
 namespace {
 
-// A row of no known form counts as held this long: another release wrote it.
-constexpr Duration kUnknownTerm = std::chrono::minutes(10);
+// A row in an unknown format, written by another release, counts as held for
+// this long.
+constexpr Duration kUnknownFormatTerm = std::chrono::minutes(10);
 
 }  // namespace
 
@@ -60,12 +62,12 @@
 bool SlotObserver::MayBeHeld(TimePoint now,
                              std::uint32_t index,
                              const std::optional<SlotRow>& row) const {
-  // Left by a request of our own whose answer was lost. It is not used, or
-  // this node would not look for a slot.
+  // Left by this node's own request whose answer was lost. The slot is not in
+  // use, since this node would otherwise not look for one.
   if (row && row->holder == m_self) {
     return false;
   }
-  const Duration term = row ? row->term : kUnknownTerm;
+  const Duration term = row ? row->term : kUnknownFormatTerm;
   const Duration drift =
       std::chrono::duration_cast<Duration>(term * m_settings.clock_drift);
   const TimePoint first_seen = m_observed.at(index).first_seen;
--- a/source/core/measuring/slot_observer.h
+++ b/source/core/measuring/slot_observer.h
@@ -1,7 +1,6 @@
-// What a node has seen of the slots that others hold, and which it may take.
-// Nodes share no clock: a row that stays unchanged here for its whole term, and
-// a margin for clocks that run at different rates, is a lease that has lapsed
-// there.
+// Tracks the slots of other nodes, and finds those that this node may take.
+// Nodes share no clock: a lease has expired if its row stays unchanged by this
+// node's clock for its whole term, the maximum clock drift and a margin.
 
 #ifndef BULRUSHMOUNT_CORE_MEASURING_SLOT_OBSERVER_H_
 #define BULRUSHMOUNT_CORE_MEASURING_SLOT_OBSERVER_H_
@@ -22,7 +21,7 @@
 
 struct FreeSlot {
   std::uint32_t index = 0;
-  // kNoRow: nobody holds it. Else its lease has lapsed.
+  // kNoRow if no node holds it, else its lease has expired.
   RowVersion version;
 };
 
@@ -34,8 +33,8 @@
       : m_self(self), m_keys(keys), m_settings(settings) {}
 
   // `rows`: all rows of the service, as just read. Empty if there is no free
-  // slot, and also while a slot of another layout may still be held: its
-  // holder's share and those of this layout together might exceed both budgets.
+  // slot, and also while a slot of another layout may still be held: the sum of
+  // its holder's share and those of this layout could exceed both budgets.
   std::vector<FreeSlot> FindFree(TimePoint now,
                                  const std::vector<Row>& rows,
                                  const BudgetLayout& layout);
--- a/source/unit_tests/core/measuring/budget_layout_test.cc
+++ b/source/unit_tests/core/measuring/budget_layout_test.cc
@@ -1,4 +1,4 @@
-// How budgets are cut into slots.
+// Tests of `core/measuring/budget_layout.h`.
 
 #include "core/measuring/budget_layout.h"
 
--- a/source/unit_tests/core/measuring/budget_lease_test.cc
+++ b/source/unit_tests/core/measuring/budget_lease_test.cc
@@ -1,5 +1,5 @@
-// Sequences of one and two nodes' leases, step by step, over a table that
-// fails on demand.
+// Tests of `core/measuring/budget_lease.h`: step-by-step sequences with the
+// leases of one or two nodes and a table that fails on demand.
 
 #include "core/measuring/budget_lease.h"
 
@@ -31,22 +31,23 @@
   std::unique_ptr<BudgetLease> MakeLease(std::uint64_t id) {
     auto lease = std::make_unique<BudgetLease>(NodeId(id), kService, m_settings,
                                                m_random, m_now);
-    // More members than slots: slots are handed on, not renewed.
+    // With more members than slots, slots are released after a turn and not
+    // renewed.
     lease->OnFleetSize({.service_members = 5, .members = 5, .services = 1});
     lease->OnBudget(m_now, Revision(1), Layout(1, 1));
     lease->OnNeed(m_now, ProbeNeed::kIdle);
     return lease;
   }
 
-  // One timer, and the reply to what it asked.
+  // Runs one timer, and delivers the reply to its request.
   void Step(BudgetLease& lease) {
     m_now += m_step;
     lease.OnTimer(m_now, TimePoint::min(), m_table);
     m_table.DeliverAll(m_now);
   }
 
-  // Up to just before the request for the slot: the layout is written and the
-  // free slot seen.
+  // Runs until just before the request for the slot: the layout is written and
+  // the free slot known.
   void StepToAcquire(BudgetLease& lease) {
     for (int i = 0; i < 3; ++i) {
       Step(lease);
@@ -75,9 +76,9 @@
   Duration m_step = seconds(2);
 };
 
-// Symptom: a slot is used that the table does not know of, or is lost although
-// it was granted. Sequence: the answer to the request is lost, before or after
-// it took effect. Cause: guessing instead of reading back.
+// Guards against using a slot without a row, or losing a granted one, when the
+// answer to the request is lost before or after it took effect. The row must be
+// read back.
 TEST_F(BudgetLeaseTest, ReadsBackWhenTheAnswerIsLost) {
   for (const auto fault : {TableFault::kAnswerLost, TableFault::kSilent}) {
     m_table.table() = InMemoryTable();
@@ -85,7 +86,7 @@
     StepToAcquire(*lease);
     m_table.FailNext(fault);
     Step(*lease);
-    EXPECT_EQ(lease->state(), LeaseState::kUnsure);
+    EXPECT_EQ(lease->state(), LeaseState::kOutcomeUnknown);
     EXPECT_FALSE(lease->Held());
     Step(*lease);
     const bool has_taken_effect = fault == TableFault::kAnswerLost;
@@ -93,10 +94,10 @@
   }
 }
 
-// Symptom: a probe long after the lease ended. Sequence: the reply that grants
-// the slot waits in a node that is stopped past the term. Cause: counting the
-// term from the reply.
-TEST_F(BudgetLeaseTest, CountsTheTermFromBeforeTheRequest) {
+// Guards against probes after the lease has ended: the reply that grants the
+// slot waits in a node that is suspended, so the term must count from the
+// request and not from the reply.
+TEST_F(BudgetLeaseTest, CountsTheTermFromTheRequest) {
   auto lease = MakeLease(1);
   StepToAcquire(*lease);
   m_now += seconds(2);
@@ -109,10 +110,10 @@
             requested_at + kTerm - m_settings.probe_timeout);
 }
 
-// Symptom: two probes of one slot within one window. Sequence: a request for a
-// free slot is long on its way; meanwhile another node takes the slot, probes
-// and releases it; then the request takes effect, since the row is absent
-// again. Cause: counting the wait before the first probe from the request.
+// Guards against two probes of one slot within one window: while a request for
+// a free slot is delayed, another node takes the slot, probes and releases it,
+// and then the request takes effect. The wait before the first probe must count
+// from the grant and not from the request.
 TEST_F(BudgetLeaseTest, WaitsAWholeWindowAfterTheGrantIsKnown) {
   auto lease = MakeLease(1);
   StepToAcquire(*lease);
@@ -124,9 +125,9 @@
   EXPECT_GE(lease->Held()->usable_from, m_now + seconds(1));
 }
 
-// Symptom: two nodes hold one slot. Sequence: its holder stops without a word;
-// another node waits. Cause: taking a slot over before the holder's term is
-// over by the slower of both clocks.
+// Guards against two nodes that hold one slot: the holder stops without
+// releasing it, and another node must wait for the term by the slower of both
+// clocks.
 TEST_F(BudgetLeaseTest, TakesOverOnlyAfterTermAndMargin) {
   auto holder = MakeLease(1);
   Hold(*holder);
@@ -143,8 +144,8 @@
   EXPECT_GE(m_now, first_seen + kTerm + drift + m_settings.lapse_margin);
 }
 
-// Symptom: a slot is lost for a whole term at each hand-over. Sequence: the
-// holder's turn ends with its need. Cause: not telling the table.
+// Guards against a slot that is unused for a whole term because its holder does
+// not release it when its need ends.
 TEST_F(BudgetLeaseTest, ReleasesWhenNoLongerNeededAndNothingIsInFlight) {
   auto lease = MakeLease(1);
   Hold(*lease);
@@ -158,27 +159,27 @@
   EXPECT_EQ(lease->state(), LeaseState::kAbsent);
 }
 
-// Symptom: the sum of shares exceeds the smaller budget. Sequence: a holder of
-// the earlier, larger budget was not told; a node of the new budget finds a
-// free slot beside it. Cause: granting under two layouts.
+// Guards against a sum of shares above the smaller budget: a holder under the
+// earlier, larger budget has not received the new one, and a node with the new
+// one finds a free slot beside it.
 TEST_F(BudgetLeaseTest, GrantsNothingWhileASlotOfAnotherBudgetMayBeHeld) {
   auto holder = MakeLease(1);
   holder->OnBudget(m_now, Revision(1), Layout(4, 4));
   Hold(*holder);
-  auto told = MakeLease(2);
-  told->OnBudget(m_now, Revision(2), Layout(2, 2));
+  auto informed = MakeLease(2);
+  informed->OnBudget(m_now, Revision(2), Layout(2, 2));
   const TimePoint begin = m_now;
-  while (told->state() != LeaseState::kHeld) {
-    Step(*told);
+  while (informed->state() != LeaseState::kHeld) {
+    Step(*informed);
     ASSERT_LT(m_now, begin + 3 * kTerm);
   }
   EXPECT_GE(m_now, begin + kTerm);
 }
 
-// Symptom: a node that lags behind the fleet takes slots by an old budget.
-// Sequence: another node has written the new one. Cause: no condition on the
-// layout row.
-TEST_F(BudgetLeaseTest, GetsNothingByABudgetThatTheTableHasPassed) {
+// Guards against a lagging node that takes slots under an old budget after
+// another node has written the new one: grants are conditional on the layout
+// row.
+TEST_F(BudgetLeaseTest, IsRefusedUnderABudgetOlderThanTheTables) {
   auto lagging = MakeLease(1);
   StepToAcquire(*lagging);
   m_table.table().Apply(
@@ -192,10 +193,9 @@
   }
 }
 
-// Symptom: releases of different age overrun each other's slots. Sequence: a
-// row of a later form stands in the table. Cause: taking what cannot be read
-// for absent.
-TEST_F(BudgetLeaseTest, CountsARowOfUnknownFormAsHeld) {
+// Guards against a release that takes over slots of a later one because it
+// treats rows in an unknown format as absent.
+TEST_F(BudgetLeaseTest, CountsARowInUnknownFormatAsHeld) {
   const ShareKeys keys(kService);
   for (const std::string& key : {keys.Slot(0), keys.layout()}) {
     m_table.table() = InMemoryTable();
@@ -208,10 +208,10 @@
   }
 }
 
-// Symptom: an old release undoes the budget of a later one. Sequence: the
-// layout row takes a later form while a slot is held and due for renewal.
-// Cause: taking what cannot be read for absent.
-TEST_F(BudgetLeaseTest, LeavesALayoutOfUnknownFormAlone) {
+// Guards against a release that overwrites the budget of a later one: the
+// layout row changes to a later format while a slot is held and due for
+// renewal.
+TEST_F(BudgetLeaseTest, DoesNotOverwriteALayoutInUnknownFormat) {
   auto lease = MakeLease(1);
   lease->OnFleetSize({});
   Hold(*lease);
@@ -225,8 +225,8 @@
             "later form");
 }
 
-// Where every member can have a slot, slots are renewed and never handed on.
-TEST_F(BudgetLeaseTest, RenewsWhileNobodyWaits) {
+// If there is a slot for every member, slots are renewed and not released.
+TEST_F(BudgetLeaseTest, RenewsWhileNoOtherNodeWaits) {
   auto lease = MakeLease(1);
   lease->OnFleetSize({});
   Hold(*lease);
@@ -237,10 +237,9 @@
   EXPECT_GT(lease->Held()->usable_until, m_now);
 }
 
-// Symptom: a lease outlives its term in its holder's eyes. Sequence: renewals
-// are sent, and no answer comes; none has taken effect. Cause: trusting a
-// renewal before it is known.
-TEST_F(BudgetLeaseTest, DoesNotTrustARenewalOfUnknownOutcome) {
+// Guards against a holder that extends its term by renewals whose outcome is
+// unknown: they are sent without an answer, and none has taken effect.
+TEST_F(BudgetLeaseTest, IgnoresARenewalOfUnknownOutcome) {
   auto lease = MakeLease(1);
   lease->OnFleetSize({});
   Hold(*lease);
--- a/source/unit_tests/core/measuring/budget_promise_test.cc
+++ b/source/unit_tests/core/measuring/budget_promise_test.cc
@@ -1,6 +1,7 @@
-// The promise of the measuring budget, over histories of several nodes: no
-// sliding window and no moment ever holds more probes than the naive version
-// allows, whatever fails; and the budget is used when it is needed.
+// Tests of the invariant of the measuring budget with generated scenarios of
+// several nodes: under any faults, no sliding window and no moment has more
+// probes than the reference implementation allows. And a budget that is needed
+// is used.
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -22,15 +23,15 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr std::size_t kMostNodes = 9;
+constexpr std::size_t kMaxNodes = 9;
 constexpr std::size_t kWaitingNodes = 25;
 
-ServiceMeasuringBudget Budget(double probes_per_second,
-                              std::uint32_t probes_in_flight) {
+ServiceMeasuringBudget MakeBudget(double probes_per_second,
+                                  std::uint32_t probes_in_flight) {
   return {ServiceName("desk"), probes_per_second, probes_in_flight};
 }
 
-NaiveBudget Naive(const ServiceMeasuringBudget& budget) {
+NaiveBudget MakeNaiveBudget(const ServiceMeasuringBudget& budget) {
   const BudgetLayout layout(budget);
   return {layout.probes_per_window(), layout.window(), budget.probes_in_flight};
 }
@@ -39,7 +40,7 @@
   kAdvance,
   kAdvanceLong,
   kFault,
-  kMend,
+  kClearFault,
   kFreeze,
   kResume,
   kJoin,
@@ -55,15 +56,15 @@
   ServiceMeasuringBudget budget;
 };
 
-// One history: commands drawn by RapidCheck against a fleet.
-class History {
+// One scenario: RapidCheck commands that are applied to a fleet.
+class Scenario {
  public:
-  History(std::uint64_t seed, const ServiceMeasuringBudget& first)
+  Scenario(std::uint64_t seed, const ServiceMeasuringBudget& first)
       : m_fleet(seed, MeasuringSettings()) {
     m_fleet.SetBudget(first, Duration::zero());
     m_changes.push_back({m_fleet.now(), first});
-    // Longer than what a probe may be late: some are dropped.
-    m_fleet.SetLateness(milliseconds(60));
+    // Longer than the allowed delay of a probe, so some are dropped.
+    m_fleet.SetMaxSendDelay(milliseconds(60));
     for (int i = 0; i < 4; ++i) {
       m_fleet.Join(ProbeNeed::kSuspect);
     }
@@ -81,7 +82,7 @@
       case Command::kFault:
         m_fleet.SetFault(static_cast<LinkFault>(1 + amount % 4));
         return;
-      case Command::kMend:
+      case Command::kClearFault:
         m_fleet.SetFault(LinkFault::kNone);
         return;
       case Command::kFreeze:
@@ -100,7 +101,7 @@
         m_fleet.SetNeed(node, static_cast<ProbeNeed>(amount % 4));
         return;
       case Command::kHang:
-        m_fleet.SetHangs(amount % 3 / 2.0);
+        m_fleet.SetHangFraction(amount % 3 / 2.0);
         return;
       case Command::kChangeBudget:
         ChangeBudget(amount);
@@ -110,11 +111,11 @@
     }
   }
 
-  // Probes beyond the largest budget that may still be in force: an earlier
-  // one is until every node was told or its leases have lapsed.
-  std::size_t CountOver() const {
+  // Number of probes above the largest budget that may be in force: an earlier
+  // one may be until every node has the new one or its leases have expired.
+  std::size_t CountOverBudgetInForce() const {
     std::size_t over = 0;
-    NaiveBudget naive = Naive(m_changes[0].budget);
+    NaiveBudget naive = MakeNaiveBudget(m_changes[0].budget);
     for (const ProbeRecord& record : m_fleet.Records()) {
       SetLimits(naive, record.sent_at);
       over += naive.Allows(record.sent_at) ? 0 : 1;
@@ -127,17 +128,17 @@
 
  private:
   static constexpr Duration kSpread = seconds(5);
-  // Term, and what a node may take to write the new layout.
-  static constexpr Duration kBinding = seconds(14 + 5 + 2);
+  // Term, kSpread, and the time that a node may take to write the new layout.
+  static constexpr Duration kTransition = seconds(14 + 5 + 2);
 
   void Join() {
-    if (m_fleet.size() < kMostNodes) {
+    if (m_fleet.size() < kMaxNodes) {
       m_fleet.Join(ProbeNeed::kIdle);
     }
   }
 
   void ChangeBudget(std::uint32_t amount) {
-    const auto budget = Budget(1 + amount % 7, 1 + amount / 7 % 5);
+    const auto budget = MakeBudget(1 + amount % 7, 1 + amount / 7 % 5);
     m_changes.push_back({m_fleet.now(), budget});
     m_fleet.SetBudget(budget, kSpread);
   }
@@ -146,8 +147,9 @@
     std::size_t probes = 0;
     std::size_t in_flight = 0;
     for (std::size_t i = 0; i < m_changes.size(); ++i) {
-      const bool is_over = i + 1 < m_changes.size() &&
-                           m_changes[i + 1].at + kBinding < time - seconds(1);
+      const bool is_over =
+          i + 1 < m_changes.size() &&
+          m_changes[i + 1].at + kTransition < time - seconds(1);
       if (is_over || m_changes[i].at > time) {
         continue;
       }
@@ -173,101 +175,104 @@
 std::size_t CountOverAfter(const Commands& commands,
                            std::uint64_t seed,
                            const ServiceMeasuringBudget& budget) {
-  History history(seed, budget);
-  history.Run(Command::kAdvanceLong, 10);
+  Scenario scenario(seed, budget);
+  scenario.Run(Command::kAdvanceLong, 10);
   for (const auto& [command, amount] : commands) {
-    history.Run(static_cast<Command>(command), amount);
-    history.Run(Command::kAdvance, amount);
+    scenario.Run(static_cast<Command>(command), amount);
+    scenario.Run(Command::kAdvance, amount);
   }
-  history.Run(Command::kAdvanceLong, 24);
-  RC_CLASSIFY(history.probes() >= 50, "50 probes or more");
-  return history.CountOver();
+  scenario.Run(Command::kAdvanceLong, 24);
+  RC_CLASSIFY(scenario.probes() >= 50, "50 probes or more");
+  return scenario.CountOverBudgetInForce();
 }
 
-// Symptom: the fleet probes more than its budget while the store, nodes and
-// messages fail. Sequence: any of the commands, in any order. Cause: a holder
-// that goes on after its term, a slot granted twice, a window that holds the
-// probes of two holders of one slot, a request that takes effect late.
-RC_GTEST_PROP(BudgetPromise, HoldsInEveryHistory, (std::uint64_t seed)) {
+// Guards against more probes than the budget while the table, nodes and
+// messages fail in any order. Causes: a holder that continues after its term, a
+// slot that is granted twice, a window with probes of two holders of one slot,
+// or a request that takes effect late.
+RC_GTEST_PROP(BudgetInvariant, HoldsInEveryScenario, (std::uint64_t seed)) {
   const auto commands =
       *AnyCommands(static_cast<std::uint8_t>(Command::kChangeBudget));
   const auto rate = *rc::gen::inRange(1, 6);
   const auto in_flight = *rc::gen::inRange(1, 6);
-  RC_ASSERT(CountOverAfter(commands, seed, Budget(rate, in_flight)) == 0U);
+  RC_ASSERT(CountOverAfter(commands, seed, MakeBudget(rate, in_flight)) == 0U);
 }
 
 // As above, for budgets below one probe a second: the window is longer.
-RC_GTEST_PROP(BudgetPromise, HoldsForRareProbes, (std::uint64_t seed)) {
+RC_GTEST_PROP(BudgetInvariant, HoldsForRareProbes, (std::uint64_t seed)) {
   const auto commands =
       *AnyCommands(static_cast<std::uint8_t>(Command::kChangeBudget));
   const auto window_seconds = *rc::gen::inRange(2, 9);
-  RC_ASSERT(CountOverAfter(commands, seed, Budget(1.0 / window_seconds, 2)) ==
-            0U);
+  RC_ASSERT(CountOverAfter(commands, seed,
+                           MakeBudget(1.0 / window_seconds, 2)) == 0U);
 }
 
-// Symptom: after an operator's change the sum exceeds both budgets, or the
-// lower one never binds. Sequence: changes at any time, told to the nodes at
-// different times, among all other faults. Cause: slots of two layouts granted
-// side by side.
-RC_GTEST_PROP(BudgetPromise, HoldsWhileBudgetsChange, (std::uint64_t seed)) {
+// Guards against a sum above both budgets, or a lower budget that never takes
+// effect, after changes that reach the nodes at different times among all other
+// faults: slots of two layouts must not be granted side by side.
+RC_GTEST_PROP(BudgetInvariant, HoldsWhileBudgetsChange, (std::uint64_t seed)) {
   const auto commands =
       *AnyCommands(static_cast<std::uint8_t>(Command::kCount));
-  RC_ASSERT(CountOverAfter(commands, seed, Budget(4, 3)) == 0U);
+  RC_ASSERT(CountOverAfter(commands, seed, MakeBudget(4, 3)) == 0U);
 }
 
-struct UseCase {
+struct UsageCase {
   std::string name;
   std::size_t nodes;
   ServiceMeasuringBudget budget;
   ProbeNeed need;
 };
 
-class BudgetUsed : public testing::TestWithParam<UseCase> {};
+class BudgetUsageTest : public testing::TestWithParam<UsageCase> {};
 
-// The other half of the promise: a budget that is needed is used, to at least
-// 70 % of what the naive version in one process would send.
-TEST_P(BudgetUsed, IsUsedWhenNeeded) {
-  const UseCase& use = GetParam();
+// A budget that is needed must be used, to at least 70 % of the probes that the
+// reference implementation in one process would send.
+TEST_P(BudgetUsageTest, IsUsedWhenNeeded) {
+  const UsageCase& usage = GetParam();
   ProbeFleet fleet(1, MeasuringSettings());
-  fleet.SetBudget(use.budget, Duration::zero());
-  for (std::size_t i = 0; i < use.nodes; ++i) {
-    fleet.Join(use.need);
+  fleet.SetBudget(usage.budget, Duration::zero());
+  for (std::size_t i = 0; i < usage.nodes; ++i) {
+    fleet.Join(usage.need);
   }
   fleet.Advance(seconds(30));
   const std::size_t before = fleet.Records().size();
   fleet.Advance(seconds(300));
   const auto records = fleet.Records();
   const double sent = static_cast<double>(records.size() - before);
-  const BudgetLayout layout(use.budget);
+  const BudgetLayout layout(usage.budget);
   const double allowed =
       300 / ToSeconds(layout.window()) * layout.probes_per_window();
   EXPECT_GE(sent, 0.7 * allowed);
-  EXPECT_EQ(CountOverBudget(records, Naive(use.budget)), 0U);
+  EXPECT_EQ(CountOverBudget(records, MakeNaiveBudget(usage.budget)), 0U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Fleets,
-    BudgetUsed,
+    BudgetUsageTest,
     testing::Values(
-        UseCase{"OneNode", 1, Budget(1, 1), ProbeNeed::kIdle},
-        UseCase{"EachNodeASlot", 7, Budget(7, 7), ProbeNeed::kIdle},
-        UseCase{"SlotsRotate", 7, Budget(3, 3), ProbeNeed::kIdle},
-        UseCase{"ManyWait", 25, Budget(5, 5), ProbeNeed::kIdle},
-        UseCase{"FewInFlight", 7, Budget(6, 2), ProbeNeed::kSuspect},
-        UseCase{"OneProbeInTwoSeconds", 4, Budget(0.5, 1), ProbeNeed::kIdle},
-        UseCase{"OneProbeInTenSeconds", 4, Budget(0.1, 1), ProbeNeed::kIdle}),
+        UsageCase{"OneNode", 1, MakeBudget(1, 1), ProbeNeed::kIdle},
+        UsageCase{"EachNodeASlot", 7, MakeBudget(7, 7), ProbeNeed::kIdle},
+        UsageCase{"SlotsRotate", 7, MakeBudget(3, 3), ProbeNeed::kIdle},
+        UsageCase{"ManyWait", 25, MakeBudget(5, 5), ProbeNeed::kIdle},
+        UsageCase{"FewInFlight", 7, MakeBudget(6, 2), ProbeNeed::kSuspect},
+        UsageCase{"OneProbeInTwoSeconds", 4, MakeBudget(0.5, 1),
+                  ProbeNeed::kIdle},
+        UsageCase{"OneProbeInTenSeconds", 4, MakeBudget(0.1, 1),
+                  ProbeNeed::kIdle}),
     [](const auto& info) { return info.param.name; });
 
-// Symptom: some targets go unprobed for many turns. Sequence: many nodes wait
-// for few slots. Cause: who asks first gets the slot, also if it just had one.
-TEST(BudgetUse, TurnsGoRound) {
+// Guards against targets that are not probed for many turns when many nodes
+// wait for few slots: a node that just had a slot must not get the next one
+// first.
+TEST(BudgetUsage, TurnsAreFair) {
   ProbeFleet fleet(5, MeasuringSettings());
-  fleet.SetBudget(Budget(5, 5), Duration::zero());
+  fleet.SetBudget(MakeBudget(5, 5), Duration::zero());
   for (std::size_t i = 0; i < kWaitingNodes; ++i) {
     fleet.Join(ProbeNeed::kIdle);
   }
   fleet.Advance(seconds(1200));
-  // Five rounds of 14 s in fair turns; the first round begins with the fleet.
+  // With fair turns, a round of all nodes takes five terms of 14 s. The first
+  // round begins with the fleet.
   std::vector<TimePoint> last(kWaitingNodes, fleet.now() - seconds(1200));
   Duration longest{};
   for (const ProbeRecord& record : fleet.Records()) {
@@ -277,12 +282,12 @@
   EXPECT_LE(longest, seconds(3 * 5 * 14));
 }
 
-// Symptom: a node that needs a slot goes without although slots are free.
-// Sequence: few of many targets need probes. Cause: giving up the slot at the
-// end of a turn for which nobody waits.
-TEST(BudgetUse, KeepsASlotThatNobodyWaitsFor) {
+// Guards against a node without a slot although slots are free: few of many
+// targets need probes, and a slot must not be released after a turn if no other
+// node waits for it.
+TEST(BudgetUsage, KeepsASlotThatNoOtherNodeWaitsFor) {
   ProbeFleet fleet(6, MeasuringSettings());
-  fleet.SetBudget(Budget(5, 5), Duration::zero());
+  fleet.SetBudget(MakeBudget(5, 5), Duration::zero());
   for (int i = 0; i < 25; ++i) {
     fleet.Join(i < 3 ? ProbeNeed::kIdle : ProbeNeed::kNone);
   }
@@ -292,53 +297,52 @@
   EXPECT_GE(fleet.Records().size() - before, 0.9 * 3 * 300);
 }
 
-// Symptom: a cut-off node goes on probing under a budget that the operator
-// lowered. Sequence: the budget goes from four probes to one; one holder is
-// never told. Cause: its renewals would go on but for the layout row.
-TEST(BudgetChange, BindsAHolderThatIsNeverTold) {
+// Guards against a disconnected node that keeps probing after the operator
+// lowered the budget from four probes to one: the changed layout row must
+// prevent its renewals.
+TEST(BudgetChange, LimitsAHolderThatIsNotInformed) {
   ProbeFleet fleet(2, MeasuringSettings());
-  fleet.SetBudget(Budget(4, 4), Duration::zero());
+  fleet.SetBudget(MakeBudget(4, 4), Duration::zero());
   for (int i = 0; i < 4; ++i) {
     fleet.Join(ProbeNeed::kIdle);
   }
   fleet.Advance(seconds(20));
-  fleet.SetBudget(Budget(1, 1), Duration::zero(), {0, 1});
+  fleet.SetBudget(MakeBudget(1, 1), Duration::zero(), {0, 1});
   fleet.Advance(seconds(17));
   const std::size_t before = fleet.Records().size();
   fleet.Advance(seconds(120));
   auto records = fleet.Records();
   records.erase(records.begin(),
                 records.begin() + static_cast<std::ptrdiff_t>(before));
-  EXPECT_EQ(CountOverBudget(records, Naive(Budget(1, 1))), 0U);
+  EXPECT_EQ(CountOverBudget(records, MakeNaiveBudget(MakeBudget(1, 1))), 0U);
   EXPECT_GE(records.size(), 80U);
 }
 
-// Symptom: probes go on under the old budget where the new one is known.
-// Sequence: all nodes are told of a lower budget. Cause: a lease outlives the
-// budget that it was granted under.
-TEST(BudgetChange, BindsEachNodeAsItIsTold) {
+// Guards against probes under the old budget on nodes that have received a
+// lower one: a lease must not outlast the budget under which it was granted.
+TEST(BudgetChange, LimitsEachNodeWhenItIsInformed) {
   ProbeFleet fleet(3, MeasuringSettings());
-  fleet.SetBudget(Budget(4, 4), Duration::zero());
+  fleet.SetBudget(MakeBudget(4, 4), Duration::zero());
   for (int i = 0; i < 4; ++i) {
     fleet.Join(ProbeNeed::kIdle);
   }
   fleet.Advance(seconds(20));
-  fleet.SetBudget(Budget(1, 1), Duration::zero());
-  // A probe that was already decided may still leave.
+  fleet.SetBudget(MakeBudget(1, 1), Duration::zero());
+  // A probe that was already decided may still be sent.
   fleet.Advance(milliseconds(51));
   const std::size_t before = fleet.Records().size();
   fleet.Advance(seconds(60));
   auto records = fleet.Records();
   records.erase(records.begin(),
                 records.begin() + static_cast<std::ptrdiff_t>(before));
-  EXPECT_EQ(CountOverBudget(records, Naive(Budget(1, 1))), 0U);
+  EXPECT_EQ(CountOverBudget(records, MakeNaiveBudget(MakeBudget(1, 1))), 0U);
 }
 
-// Symptom: the fleet keeps probing without the store. Sequence: the store goes
-// down for good; every term ends. Cause: a lease that does not lapse.
-TEST(BudgetOutage, StopsAllProbesAfterTheTermAndGoesOnAfterwards) {
+// Guards against a fleet that keeps probing while the table is unavailable:
+// leases must expire with their terms.
+TEST(BudgetOutage, StopsAllProbesAfterTheTermAndResumesAfterwards) {
   ProbeFleet fleet(4, MeasuringSettings());
-  fleet.SetBudget(Budget(3, 3), Duration::zero());
+  fleet.SetBudget(MakeBudget(3, 3), Duration::zero());
   for (int i = 0; i < 3; ++i) {
     fleet.Join(ProbeNeed::kIdle);
   }
--- a/source/unit_tests/core/measuring/naive_budget.h
+++ b/source/unit_tests/core/measuring/naive_budget.h
@@ -1,5 +1,5 @@
-// The measuring budget in its obvious form: one process sees every probe of the
-// fleet and looks back over the window.
+// Reference implementation of the measuring budget: a single process sees every
+// probe of the fleet and counts those in the window.
 
 #ifndef BULRUSHMOUNT_UNIT_TESTS_CORE_MEASURING_NAIVE_BUDGET_H_
 #define BULRUSHMOUNT_UNIT_TESTS_CORE_MEASURING_NAIVE_BUDGET_H_
@@ -12,10 +12,10 @@
 
 namespace bulrushmount {
 
-// One probe as it was really sent.
+// One probe that was sent.
 struct ProbeRecord {
   TimePoint sent_at;
-  // Answered, or given up with its connection closed.
+  // Answered, or timed out with its connection closed.
   TimePoint ended_at;
   std::size_t node = 0;
 };
@@ -25,7 +25,7 @@
   NaiveBudget(std::size_t probes, Duration window, std::size_t in_flight)
       : m_probes(probes), m_window(window), m_in_flight(in_flight) {}
 
-  // Whether a probe at this moment is within the budget, after those recorded.
+  // Whether a probe at this time is within the budget after the recorded ones.
   bool Allows(TimePoint sent_at) const {
     const auto in_window = std::count_if(
         m_records.begin(), m_records.end(),
--- a/source/unit_tests/core/measuring/probe_fleet.cc
+++ b/source/unit_tests/core/measuring/probe_fleet.cc
@@ -1,4 +1,5 @@
-// A queue of events in one true time; each node sees it by a clock of its own.
+// Part of `probe_fleet.h`: events are ordered by one true time, which each node
+// sees through its own clock.
 
 #include "unit_tests/core/measuring/probe_fleet.h"
 
@@ -17,7 +18,7 @@
 
 }  // namespace
 
-// A node's way to the table, and its own stop and go.
+// A node's connection to the table. Replies wait while the node is suspended.
 class ProbeFleet::Link : public TableService {
  public:
   Link(ProbeFleet& fleet, Node& node) : m_fleet(fleet), m_node(node) {}
@@ -25,14 +26,14 @@
   void Submit(TableRequest request, Callback callback) override;
 
  private:
-  struct Journey {
-    Duration there{};
-    Duration back{};
-    bool is_lost_there = false;
-    bool is_lost_back = false;
+  struct Delivery {
+    Duration request_delay{};
+    Duration reply_delay{};
+    bool is_request_lost = false;
+    bool is_reply_lost = false;
   };
 
-  Journey RandomJourney();
+  Delivery RandomDelivery();
 
   ProbeFleet& m_fleet;
   Node& m_node;
@@ -49,22 +50,22 @@
         m_scheduler(NodeId(id), fleet.m_settings, m_random),
         m_link(fleet, *this) {}
 
-  // This node's clock at a true time, and back.
-  TimePoint Local(TimePoint time) const {
+  // Converts a true time to this node's clock and back.
+  TimePoint LocalTime(TimePoint time) const {
     const double seconds = ToSeconds(time.time_since_epoch()) * m_clock_rate;
     return TimePoint(FromSeconds(seconds)) + m_clock_offset;
   }
-  TimePoint True(TimePoint local) const {
+  TimePoint TrueTime(TimePoint local) const {
     if (local == TimePoint::max()) {
       return local;
     }
     const double seconds =
         ToSeconds((local - m_clock_offset).time_since_epoch()) / m_clock_rate;
-    // Rounded up, so that the local time has come.
+    // Rounded up, so that the local time has been reached.
     return TimePoint(FromSeconds(seconds)) + std::chrono::microseconds(1);
   }
 
-  // Runs now, or when the node goes on; never if it has ended.
+  // Runs `action` now, or when the node resumes; never if the node has ended.
   void Run(std::function<void(TimePoint)> action) {
     if (!is_alive) {
       return;
@@ -73,31 +74,31 @@
       m_deferred.push_back(std::move(action));
       return;
     }
-    action(Local(m_fleet.now()));
+    action(LocalTime(m_fleet.now()));
   }
 
   void Resume() {
     is_frozen = false;
-    // The timer fires before the node has read what it missed.
+    // The timer fires before the node reads pending messages.
     OnTimer();
     std::deque<std::function<void(TimePoint)>> deferred;
     deferred.swap(m_deferred);
     for (const auto& action : deferred) {
-      action(Local(m_fleet.now()));
+      action(LocalTime(m_fleet.now()));
     }
   }
 
   TimePoint NextWakeup() const {
-    return is_alive && !is_frozen ? True(m_scheduler.NextWakeup())
+    return is_alive && !is_frozen ? TrueTime(m_scheduler.NextWakeup())
                                   : TimePoint::max();
   }
 
   void OnTimer() {
-    const TimePoint local = Local(m_fleet.now());
+    const TimePoint local = LocalTime(m_fleet.now());
     const auto order = m_scheduler.OnTimer(local, m_link);
     if (order) {
-      // The daemon is a little late, or stopped before the bytes leave.
-      const Duration late = m_fleet.RandomUpTo(m_fleet.m_lateness);
+      // The daemon sends it slightly late, or is suspended before.
+      const Duration late = m_fleet.RandomUpTo(m_fleet.m_max_send_delay);
       m_fleet.m_time.After(late, [this, order = *order] {
         Run([this, order](TimePoint now) { Send(now, order); });
       });
@@ -115,17 +116,17 @@
       m_scheduler.OnProbeFailed(now, order.probe);
       return;
     }
-    const bool hangs = m_random.Fraction() < m_fleet.m_hang_fraction;
+    const bool is_hanging = m_random.Fraction() < m_fleet.m_hang_fraction;
     const TimePoint answer = m_fleet.now() + kAnswerTime;
-    const TimePoint end = hangs ? True(order.gives_up_at) : answer;
+    const TimePoint end = is_hanging ? TrueTime(order.gives_up_at) : answer;
     m_fleet.m_records.push_back({m_fleet.now(), end, m_index});
-    // The connection may break long before the target gives up its work.
-    const bool breaks = m_random.Index(2) == 0;
-    const TimePoint reported_at = breaks ? answer : end;
-    m_fleet.m_time.At(reported_at, [this, order, hangs] {
-      Run([this, order, hangs](TimePoint then) {
-        hangs ? m_scheduler.OnProbeFailed(then, order.probe)
-              : m_scheduler.OnProbeAnswered(then, order.probe);
+    // The connection may be lost long before the target stops processing.
+    const bool is_connection_lost = m_random.Index(2) == 0;
+    const TimePoint reported_at = is_connection_lost ? answer : end;
+    m_fleet.m_time.At(reported_at, [this, order, is_hanging] {
+      Run([this, order, is_hanging](TimePoint then) {
+        is_hanging ? m_scheduler.OnProbeFailed(then, order.probe)
+                   : m_scheduler.OnProbeAnswered(then, order.probe);
       });
     });
   }
@@ -140,40 +141,40 @@
   std::deque<std::function<void(TimePoint)>> m_deferred;
 };
 
-ProbeFleet::Link::Journey ProbeFleet::Link::RandomJourney() {
+ProbeFleet::Link::Delivery ProbeFleet::Link::RandomDelivery() {
   SeededRandomSource& random = m_fleet.m_random;
-  const Duration quick = std::chrono::milliseconds(2);
-  Journey journey{quick, quick};
+  const Duration usual_delay = std::chrono::milliseconds(2);
+  Delivery delivery{usual_delay, usual_delay};
   switch (m_fleet.m_fault) {
     case LinkFault::kNone:
     case LinkFault::kDown:
       break;
     case LinkFault::kAnswersLost:
-      journey.is_lost_back = true;
+      delivery.is_reply_lost = true;
       break;
     case LinkFault::kSlow:
-      journey.there = m_fleet.RandomUpTo(std::chrono::seconds(4));
-      journey.back = m_fleet.RandomUpTo(std::chrono::seconds(4));
+      delivery.request_delay = m_fleet.RandomUpTo(std::chrono::seconds(4));
+      delivery.reply_delay = m_fleet.RandomUpTo(std::chrono::seconds(4));
       break;
     case LinkFault::kUnreliable:
-      journey.there = m_fleet.RandomUpTo(
+      delivery.request_delay = m_fleet.RandomUpTo(
           std::chrono::seconds(random.Index(4) == 0 ? 15 : 1));
-      journey.back = m_fleet.RandomUpTo(std::chrono::seconds(1));
-      journey.is_lost_there = random.Index(6) == 0;
-      journey.is_lost_back = random.Index(3) == 0;
+      delivery.reply_delay = m_fleet.RandomUpTo(std::chrono::seconds(1));
+      delivery.is_request_lost = random.Index(6) == 0;
+      delivery.is_reply_lost = random.Index(3) == 0;
       break;
   }
-  return journey;
+  return delivery;
 }
 
 void ProbeFleet::Link::Submit(TableRequest request, Callback callback) {
   const bool is_write = std::holds_alternative<TableTransact>(request);
   ++(is_write ? m_fleet.m_writes : m_fleet.m_reads);
   const bool is_down = m_fleet.m_fault == LinkFault::kDown;
-  const Journey journey = RandomJourney();
-  // Told once: by the answer or by the time-out, whichever is first.
+  const Delivery delivery = RandomDelivery();
+  // Reported once: by the answer or by the timeout, whichever is first.
   auto is_reported = std::make_shared<bool>(false);
-  const auto tell = [this, callback, is_reported](const TableReply& reply) {
+  const auto report = [this, callback, is_reported](const TableReply& reply) {
     m_node.Run([callback, is_reported, reply](TimePoint now) {
       if (!std::exchange(*is_reported, true)) {
         callback(now, reply);
@@ -181,24 +182,25 @@
     });
   };
   if (is_down) {
-    m_fleet.m_time.After(journey.back, [tell] {
-      tell({TableStatus::kUnavailable, {}});
+    m_fleet.m_time.After(delivery.reply_delay, [report] {
+      report({TableStatus::kUnavailable, {}});
     });
     return;
   }
-  m_fleet.m_time.After(kTableTimeout, [tell] {
-    tell({TableStatus::kUnknown, {}});
+  m_fleet.m_time.After(kTableTimeout, [report] {
+    report({TableStatus::kUnknown, {}});
   });
-  if (journey.is_lost_there) {
+  if (delivery.is_request_lost) {
     return;
   }
-  m_fleet.m_time.After(
-      journey.there, [this, journey, tell, request = std::move(request)] {
-        const TableReply reply = m_fleet.m_table.Apply(request);
-        if (!journey.is_lost_back) {
-          m_fleet.m_time.After(journey.back, [tell, reply] { tell(reply); });
-        }
-      });
+  m_fleet.m_time.After(delivery.request_delay, [this, delivery, report,
+                                                request = std::move(request)] {
+    const TableReply reply = m_fleet.m_table.Apply(request);
+    if (!delivery.is_reply_lost) {
+      m_fleet.m_time.After(delivery.reply_delay,
+                           [report, reply] { report(reply); });
+    }
+  });
 }
 
 ProbeFleet::ProbeFleet(std::uint64_t seed, const MeasuringSettings& settings)
@@ -209,7 +211,7 @@
 std::size_t ProbeFleet::Join(ProbeNeed need) {
   m_nodes.push_back(std::make_unique<Node>(*this, m_nodes.size() + 1));
   Node& node = *m_nodes.back();
-  const TimePoint local = node.Local(now());
+  const TimePoint local = node.LocalTime(now());
   ProbeScheduler& scheduler = node.scheduler();
   scheduler.OnContract(local, m_revision, &m_terms);
   scheduler.OnNeed(local, need);
@@ -234,9 +236,10 @@
 }
 
 void ProbeFleet::SetNeed(std::size_t node, ProbeNeed need) {
-  Node& told = *m_nodes[node];
-  told.Run(
-      [&told, need](TimePoint now) { told.scheduler().OnNeed(now, need); });
+  Node& node_entry = *m_nodes[node];
+  node_entry.Run([&node_entry, need](TimePoint now) {
+    node_entry.scheduler().OnNeed(now, need);
+  });
 }
 
 void ProbeFleet::SetBudget(const ServiceMeasuringBudget& budget,
@@ -245,18 +248,18 @@
   m_terms.budgets = {budget};
   m_terms.budgets[0].service = kService;
   m_revision = Revision(m_revision.value() + 1);
-  m_reported_at = now() + spread;
+  m_received_at = now() + spread;
   for (std::size_t i = 0; i < m_nodes.size(); ++i) {
     if (std::find(cut_off.begin(), cut_off.end(), i) != cut_off.end()) {
       continue;
     }
     Node& node = *m_nodes[i];
-    const auto tell = [&node, revision = m_revision, terms = m_terms] {
+    const auto report = [&node, revision = m_revision, terms = m_terms] {
       node.Run([&node, revision, terms](TimePoint now) {
         node.scheduler().OnContract(now, revision, &terms);
       });
     };
-    m_time.After(RandomUpTo(spread), tell);
+    m_time.After(RandomUpTo(spread), report);
   }
 }
 
@@ -289,7 +292,7 @@
   for (const auto& node : m_nodes) {
     next = std::min(next, node->NextWakeup());
   }
-  // A node that always wants to wake up at once still lets time pass.
+  // Time advances even if a node always requests an immediate wakeup.
   m_time.MoveTo(std::max(next, now() + std::chrono::microseconds(10)));
   while (m_time.RunDueStep()) {
   }
--- a/source/unit_tests/core/measuring/probe_fleet.h
+++ b/source/unit_tests/core/measuring/probe_fleet.h
@@ -1,6 +1,6 @@
-// Several nodes' probe schedulers over one table, with every fault on the way:
-// requests that arrive late or never, answers lost, nodes that stop and go on,
-// clocks that start anywhere and run at different rates.
+// Simulates the probe schedulers of several nodes with one table and with
+// faults: requests that arrive late or never, lost answers, suspended
+// processes, and clocks with different offsets and rates.
 
 #ifndef BULRUSHMOUNT_UNIT_TESTS_CORE_MEASURING_PROBE_FLEET_H_
 #define BULRUSHMOUNT_UNIT_TESTS_CORE_MEASURING_PROBE_FLEET_H_
@@ -20,10 +20,10 @@
 
 enum class LinkFault : std::uint8_t {
   kNone,
-  // kUnavailable, without effect.
+  // Requests fail with kUnavailable and without effect.
   kDown,
-  // Some answers come late, some are lost, some requests take effect only
-  // after their sender was told that the outcome is unknown.
+  // Some answers are late, some are lost, and some requests take effect only
+  // after their sender got an unknown outcome.
   kUnreliable,
   // Every answer is lost; requests take effect.
   kAnswersLost,
@@ -36,37 +36,41 @@
   ProbeFleet(std::uint64_t seed, const MeasuringSettings& settings);
   ~ProbeFleet();
 
-  // Adds a node that knows the budget in force; returns its index.
+  // Adds a node that has the budget in force; returns its index.
   std::size_t Join(ProbeNeed need);
-  // Ends at once, as by SIGKILL.
+  // Ends the node immediately, as by SIGKILL.
   void Kill(std::size_t node);
-  // Stopped as by SIGSTOP; its clock goes on, its connections stay.
+  // Suspends the node, as by SIGSTOP; its clock continues and its connections
+  // stay open.
   void Freeze(std::size_t node);
   void Resume(std::size_t node);
   void SetNeed(std::size_t node, ProbeNeed need);
   void SetFault(LinkFault fault) { m_fault = fault; }
-  // Every live node is told within `spread`. Those `cut_off` are not told.
+  // Sends the budget to every live node within `spread`, except to those in
+  // `cut_off`.
   void SetBudget(const ServiceMeasuringBudget& budget,
                  Duration spread,
                  const std::vector<std::size_t>& cut_off = {});
-  // A fraction of probes to which the target does not answer.
-  void SetHangs(double fraction) { m_hang_fraction = fraction; }
-  // Up to this long passes between the decision and the send of a probe.
-  void SetLateness(Duration lateness) { m_lateness = lateness; }
-  // What each node believes of the fleet beyond this service.
+  // Sets the fraction of probes that the target does not answer.
+  void SetHangFraction(double fraction) { m_hang_fraction = fraction; }
+  // Sets the maximum delay between the decision and the send of a probe.
+  void SetMaxSendDelay(Duration max_send_delay) {
+    m_max_send_delay = max_send_delay;
+  }
+  // Sets the fleet size that each node assumes beyond this service.
   void SetFleet(std::uint32_t members, std::uint32_t services);
 
   void Advance(Duration duration);
 
   TimePoint now() const { return m_time.now(); }
   std::size_t size() const { return m_nodes.size(); }
-  // In the order of their sending, of all nodes.
+  // Probes of all nodes in the order in which they were sent.
   std::vector<ProbeRecord> Records() const;
   std::size_t reads() const { return m_reads; }
   std::size_t writes() const { return m_writes; }
   std::size_t timers() const { return m_timers; }
-  // When every node had been told of the last budget.
-  TimePoint reported_at() const { return m_reported_at; }
+  // Time by which every node has received the last budget.
+  TimePoint received_at() const { return m_received_at; }
   InMemoryTable& table() { return m_table; }
 
  private:
@@ -82,10 +86,10 @@
   InMemoryTable m_table;
   LinkFault m_fault = LinkFault::kNone;
   double m_hang_fraction = 0;
-  Duration m_lateness = std::chrono::milliseconds(5);
+  Duration m_max_send_delay = std::chrono::milliseconds(5);
   FleetSize m_size;
   VirtualTime m_time;
-  TimePoint m_reported_at;
+  TimePoint m_received_at;
   MeasuringTerms m_terms;
   Revision m_revision;
   std::vector<std::unique_ptr<Node>> m_nodes;
@@ -95,7 +99,7 @@
   std::size_t m_timers = 0;
 };
 
-// How many of the records the naive version would not have allowed.
+// Number of records that the reference implementation would not have allowed.
 std::size_t CountOverBudget(const std::vector<ProbeRecord>& records,
                             NaiveBudget naive);
 
--- a/source/unit_tests/core/measuring/probe_scheduler_test.cc
+++ b/source/unit_tests/core/measuring/probe_scheduler_test.cc
@@ -1,4 +1,4 @@
-// What the scheduler of one node does with what it is told.
+// Tests of `core/measuring/probe_scheduler.h` for a single node.
 
 #include "core/measuring/probe_scheduler.h"
 
@@ -44,7 +44,7 @@
   ProbeScheduler m_scheduler{NodeId(1), MeasuringSettings(), m_random};
 };
 
-TEST_F(ProbeSchedulerTest, ProbesWithATimeLimitForTheSend) {
+TEST_F(ProbeSchedulerTest, OrdersHaveATimeLimitForTheSend) {
   const auto order = RunUntilOrder(seconds(10));
   ASSERT_TRUE(order);
   EXPECT_EQ(order->valid_until, m_now + milliseconds(50));
@@ -55,7 +55,7 @@
   EXPECT_FALSE(RunUntilOrder(seconds(10)));
 }
 
-TEST_F(ProbeSchedulerTest, SpendsNothingOnATargetThatNeedsNoProbe) {
+TEST_F(ProbeSchedulerTest, DoesNotProbeATargetWithoutNeed) {
   const auto order = RunUntilOrder(seconds(10));
   ASSERT_TRUE(order);
   m_scheduler.OnProbeAnswered(m_now, order->probe);
@@ -65,7 +65,7 @@
   EXPECT_FALSE(RunUntilOrder(seconds(60)));
 }
 
-TEST_F(ProbeSchedulerTest, SpendsNothingWithoutTargetOrBudget) {
+TEST_F(ProbeSchedulerTest, DoesNotProbeWithoutTargetOrBudget) {
   m_scheduler.OnTarget(m_now, std::nullopt);
   EXPECT_FALSE(RunUntilOrder(seconds(60)));
   m_scheduler.OnTarget(m_now, kService);
@@ -73,8 +73,8 @@
   EXPECT_FALSE(RunUntilOrder(seconds(60)));
 }
 
-// Symptom: a node goes back to a budget that was lowered. Sequence: two
-// changes are told in the other order. Cause: the later call wins.
+// Guards against a node that returns to an earlier, higher budget when two
+// changes arrive in reverse order.
 TEST_F(ProbeSchedulerTest, IgnoresAnOlderContract) {
   m_scheduler.OnContract(m_now, Revision(3), nullptr);
   m_scheduler.OnContract(m_now, Revision(2), &m_terms);
