--- a/source/core/measuring/lease_life.cc
+++ b/source/core/measuring/lease_life.cc
@@ -1,6 +1,6 @@
 // Part of `lease_state_machine.h`, with Boost.MSM.
 
-#include "core/measuring/lease_life.h"
+#include "core/measuring/lease_state_machine.h"
 
 #include <cstdlib>
 
--- a/source/core/measuring/lease_life.h
+++ b/source/core/measuring/lease_state_machine.h
@@ -1,8 +1,8 @@
 // State machine of a lease of a measuring slot. The slot is used only in the
 // held state; in every other state it counts as possibly held by another node.
 
-#ifndef BULRUSHMOUNT_CORE_MEASURING_LEASE_LIFE_H_
-#define BULRUSHMOUNT_CORE_MEASURING_LEASE_LIFE_H_
+#ifndef BULRUSHMOUNT_CORE_MEASURING_LEASE_STATE_MACHINE_H_
+#define BULRUSHMOUNT_CORE_MEASURING_LEASE_STATE_MACHINE_H_
 
 #include <cstdint>
 #include <memory>
@@ -55,4 +55,4 @@
 
 }  // namespace bulrushmount
 
-#endif  // BULRUSHMOUNT_CORE_MEASURING_LEASE_LIFE_H_
+#endif  // BULRUSHMOUNT_CORE_MEASURING_LEASE_STATE_MACHINE_H_
