--- a/source/core/pipeline/adaptive_throttle.cc
+++ b/source/core/pipeline/adaptive_throttle.cc
@@ -1,4 +1,4 @@
-// Part of `adaptive_throttle.h`.
+// Implements `adaptive_throttle.h`.
 
 #include "core/pipeline/adaptive_throttle.h"
 
@@ -12,24 +12,27 @@
 
 using std::chrono_literals::operator""ms;
 
-// Fewer recent calls than this say nothing, and cost owners little.
-constexpr double kLeastCalls = 6;
+// With fewer recent calls than this there is no throttling: they give no
+// reliable estimate and cost owners little.
+constexpr double kMinCalls = 6;
 
-// Calls that are sent for each answered one. At a full target: just more than
-// it answers, since each call that it refuses may cost another one its use. At
-// one with room: so that twice as many are sent within kMemory once a burst is
-// over.
-constexpr double kSentAtFullTarget = 1.05;
-constexpr double kSentAtTargetWithRoom = 2.0;
+// Calls sent for each answered call. While the target is full: slightly more
+// than it answers, since each call that it refuses may waste another call of
+// the same request. While the target has room: enough for the rate to double
+// within kTimeConstant after a burst.
+constexpr double kSentPerAnswerWhenFull = 1.05;
+constexpr double kSentPerAnswerWithRoom = 2.0;
 
-// Some calls are always sent: only their answers tell that there is room again.
-constexpr double kMostRefused = 0.8;
+// Some calls are always sent, since only their answers show that there is
+// capacity again.
+constexpr double kMaxRefusedShare = 0.8;
 
-// Calls of one request start within this time of each other at its node. Of
-// pairs of calls 99 in 100 came within 3 ms to nodes with a tenth of a core.
-constexpr Duration kTogether = 4ms;
+// Calls of one request arrive at the node within this time of each other. At
+// nodes with a tenth of a core 99 % of pairs arrived within 3 ms.
+constexpr Duration kSameRequestWindow = 4ms;
 
-// Kinds come from the operator; more than this are not throttled.
+// Bounds memory: kinds are configured by the operator, and further ones are not
+// throttled.
 constexpr std::size_t kMaxClasses = 1024;
 
 }  // namespace
@@ -40,8 +43,8 @@
   Recent* const recent = Find(calls);
   if (!recent)
     return true;
-  const bool is_together = now - recent->decided_at <= kTogether;
-  if (!is_together) {
+  const bool is_same_request = now - recent->decided_at <= kSameRequestWindow;
+  if (!is_same_request) {
     recent->is_admitted = random.Fraction() >= RefusedShare(now, calls);
     recent->decided_at = now;
   }
@@ -57,8 +60,8 @@
   if (!recent)
     return;
   recent->calls.Add(now, 1);
-  recent->worth_sending.Add(
-      now, has_room ? kSentAtTargetWithRoom : kSentAtFullTarget);
+  recent->capacity.Add(
+      now, has_room ? kSentPerAnswerWithRoom : kSentPerAnswerWhenFull);
 }
 
 void AdaptiveThrottle::OnRefused(TimePoint now, const CallClass& calls) {
@@ -72,10 +75,10 @@
   if (found == m_classes.end())
     return 0;
   const double recent = found->second.calls.At(now);
-  if (recent < kLeastCalls)
+  if (recent < kMinCalls)
     return 0;
-  const double surplus = recent - found->second.worth_sending.At(now);
-  return std::clamp(surplus / recent, 0.0, kMostRefused);
+  const double surplus = recent - found->second.capacity.At(now);
+  return std::clamp(surplus / recent, 0.0, kMaxRefusedShare);
 }
 
 AdaptiveThrottle::Recent* AdaptiveThrottle::Find(const CallClass& calls) {
--- a/source/core/pipeline/adaptive_throttle.h
+++ b/source/core/pipeline/adaptive_throttle.h
@@ -1,16 +1,18 @@
-// Decides at an entry which calls are not worth an owner's time, since the
-// called service would refuse them.
+// Client-side throttling: refuses calls at their entry node that the called
+// service would probably refuse anyway.
 //
-// Load pattern: for some seconds more calls come for a service than its targets
-// can run. Each call that can't be served asks several owners in turn, which
-// takes processor time of the very nodes that are short of it, so that less is
-// answered than at full load. And requests that make several calls at once get
-// one answered and one refused, so that the answered one was run in vain.
+// Load pattern: for some seconds more calls arrive for a service than its
+// targets can run. Each call that cannot be served is tried at several owners
+// in turn, which uses processor time on nodes that are already short of it, so
+// throughput drops below that at full load. A request that makes several calls
+// at once often gets one answered and one refused, so the answered one was
+// wasted.
 //
-// So an entry sends hardly more calls than were answered of late, and refuses
-// the rest at once; calls that come together share one verdict. That is for
-// calls that targets make for their own requests. Among other calls an owner
-// chooses better than an entry whom to refuse.
+// Therefore an entry sends only slightly more calls than were answered recently
+// and refuses the rest at once; calls that arrive together share one decision.
+// This applies only to calls that targets make while serving their own
+// requests. For all other calls the owner has better information than the entry
+// about which to refuse.
 
 #ifndef BULRUSHMOUNT_CORE_PIPELINE_ADAPTIVE_THROTTLE_H_
 #define BULRUSHMOUNT_CORE_PIPELINE_ADAPTIVE_THROTTLE_H_
@@ -27,33 +29,34 @@
 
 class AdaptiveThrottle {
  public:
-  // Whether the call may be sent to an owner. Each call that may is to end with
-  // `OnAnswered`, `OnRefused`, or neither if its end says nothing of the load.
+  // Whether the call may be sent to an owner. Each admitted call is reported
+  // with `OnAnswered` or `OnRefused`, or with neither if its result says
+  // nothing about load.
   bool Admit(TimePoint now, const CallClass& calls, RandomSource& random);
 
-  // `has_room`: the target could have run another one beside it.
+  // `has_room`: the target could have run another call concurrently.
   void OnAnswered(TimePoint now, const CallClass& calls, bool has_room);
-  // Owners that were asked had no room.
+  // Every owner that was tried had no capacity.
   void OnRefused(TimePoint now, const CallClass& calls);
 
-  // Of the next calls, the part that is refused; in [0, 1).
+  // Probability that the next call is refused; in [0, 1).
   double RefusedShare(TimePoint now, const CallClass& calls) const;
 
  private:
-  // Time constant of "recent": a few times what a call takes, and a fraction of
-  // the seconds that bursts last.
-  static constexpr Duration kMemory = std::chrono::milliseconds(500);
+  // Time constant of the decaying sums: several times the duration of a call,
+  // and a fraction of the seconds that a burst lasts.
+  static constexpr Duration kTimeConstant = std::chrono::milliseconds(500);
 
   struct Recent {
-    DecayingSum calls{kMemory};
-    // What of them the service can do, as the answers say.
-    DecayingSum worth_sending{kMemory};
-    // The newest verdict, and when it was made.
+    DecayingSum calls{kTimeConstant};
+    // How many calls the service could have run, estimated from its answers.
+    DecayingSum capacity{kTimeConstant};
+    // The most recent decision and its time.
     bool is_admitted = true;
     TimePoint decided_at{};
   };
 
-  // Null beyond the most classes that are looked at.
+  // Null if the class is unknown and the limit of tracked classes is reached.
   Recent* Find(const CallClass& calls);
 
   std::map<CallClass, Recent> m_classes;
--- a/source/core/pipeline/answer_profiles.h
+++ b/source/core/pipeline/answer_profiles.h
@@ -1,9 +1,9 @@
-// What an entry learns of the answers to each kind of request: how large they
-// are, and how soon they begin.
+// Tracks the mean body size and the mean time to first byte of answers for each
+// kind of request.
 //
-// Load pattern: answers of 90 KB and of 1 KB go to the same targets. To turn to
-// another availability zone for a start that is some milliseconds sooner is
-// worth it for the small ones alone: their bytes between zones cost little.
+// Load pattern: answers of 90 KB and of 1 KB come from the same targets.
+// Choosing another availability zone to start some milliseconds sooner pays off
+// only for small answers, whose transfer between zones is cheap.
 
 #ifndef BULRUSHMOUNT_CORE_PIPELINE_ANSWER_PROFILES_H_
 #define BULRUSHMOUNT_CORE_PIPELINE_ANSWER_PROFILES_H_
@@ -20,7 +20,8 @@
 
 class AnswerProfiles {
  public:
-  // `first_byte` from sending the request to its owner.
+  // `first_byte` is the time from sending the request to the owner until the
+  // first byte of the answer.
   void OnAnswer(const KindName& kind,
                 std::uint64_t body_bytes,
                 Duration first_byte) {
@@ -28,14 +29,14 @@
       return;
     Profile& profile = m_kinds[kind];
     ++profile.answers;
-    const double gain = std::max(kGain, 1.0 / profile.answers);
+    const double gain = std::max(kSampleWeight, 1.0 / profile.answers);
     profile.body_bytes +=
         gain * (static_cast<double>(body_bytes) - profile.body_bytes);
     profile.first_byte_seconds +=
         gain * (ToSeconds(first_byte) - profile.first_byte_seconds);
   }
 
-  // Means; 0 until an answer was seen.
+  // Both return means; 0 before the first answer.
   double BodyBytes(const KindName& kind) const {
     const auto found = m_kinds.find(kind);
     return found == m_kinds.end() ? 0.0 : found->second.body_bytes;
@@ -48,9 +49,11 @@
   }
 
  private:
-  // Weight of one answer: of the last thirty or so.
-  static constexpr double kGain = 1.0 / 32;
-  // Kinds come from the operator; more than this are not looked at.
+  // Weight of one answer in the moving average, which covers about the last 32
+  // answers.
+  static constexpr double kSampleWeight = 1.0 / 32;
+  // Bounds memory: kinds are configured by the operator, and further ones are
+  // not tracked.
   static constexpr std::size_t kMaxKinds = 256;
 
   struct Profile {
--- a/source/core/pipeline/ask_budget.h
+++ b/source/core/pipeline/ask_budget.h
@@ -1,11 +1,10 @@
-// How many owners an entry may ask for one call, by how often owners of the
-// service have refused of late.
+// Limits how many owners an entry tries for one call, based on how often the
+// owners of the service have refused recently.
 //
-// Load pattern: a target in four is disturbed, and a call that is refused there
-// finds an undisturbed one at the next owner or the one after it. But once all
-// targets are full, all owners refuse: six questions for each call then take
-// the processor time of nodes that need it for answers, without a better start
-// for anybody.
+// Load pattern: while one target in four is slow, a call refused there finds an
+// unaffected target at the next owner or the one after it. Once all targets are
+// full, all owners refuse: six attempts per call then use processor time that
+// the nodes need for answers, and no call starts sooner.
 
 #ifndef BULRUSHMOUNT_CORE_PIPELINE_ASK_BUDGET_H_
 #define BULRUSHMOUNT_CORE_PIPELINE_ASK_BUDGET_H_
@@ -34,34 +33,35 @@
     m_services[service].refusals.Add(now, 1);
   }
 
-  // Whether a call may turn to another owner once this one has refused.
-  // `owners` of the service.
-  bool MayAskMore(TimePoint now,
-                  const ServiceName& service,
-                  std::size_t owners) {
+  // Whether a call may try another owner after a refusal. `owners` is the
+  // number of owners of the service.
+  bool MayTryAnotherOwner(TimePoint now,
+                          const ServiceName& service,
+                          std::size_t owners) {
     const Recent& recent = m_services[service];
     return recent.refusals.At(now) <=
-           FreeRefusals(owners) + kRefusalsForACall * recent.calls.At(now);
+           FreeRefusals(owners) + kRefusalsPerCall * recent.calls.At(now);
   }
 
  private:
-  // Time constant of "recent": as in AdaptiveThrottle.
-  static constexpr Duration kMemory = std::chrono::milliseconds(500);
-  // Where a third of the targets is disturbed, half a refusal for each call
-  // finds an undisturbed one; twice that leaves room for chance.
-  static constexpr double kRefusalsForACall = 1.0;
-  // What each owner may refuse beyond that, a second, for the fleet together: a
-  // fortieth of the requests that a node with a tenth of a core can decide on.
-  static constexpr double kFreeRefusalsOfAnOwner = 25;
+  // Time constant of the decaying sums, as in AdaptiveThrottle.
+  static constexpr Duration kTimeConstant = std::chrono::milliseconds(500);
+  // If a third of the targets is slow, half a refusal per call is enough to
+  // find an unaffected one. Twice that allows for random variation.
+  static constexpr double kRefusalsPerCall = 1.0;
+  // Additional refusals per second that each owner may cause, for all entries
+  // together: a fortieth of the requests that a node with a tenth of a core can
+  // handle.
+  static constexpr double kFreeRefusalsPerOwnerPerSecond = 25;
 
   struct Recent {
-    DecayingSum calls{kMemory};
-    DecayingSum refusals{kMemory};
+    DecayingSum calls{kTimeConstant};
+    DecayingSum refusals{kTimeConstant};
   };
 
-  // This entry's part, within kMemory.
+  // This entry's share of the additional refusals within kTimeConstant.
   double FreeRefusals(std::size_t owners) const {
-    return kFreeRefusalsOfAnOwner * ToSeconds(kMemory) *
+    return kFreeRefusalsPerOwnerPerSecond * ToSeconds(kTimeConstant) *
            static_cast<double>(owners) / static_cast<double>(m_nodes);
   }
 
--- a/source/core/pipeline/call.h
+++ b/source/core/pipeline/call.h
@@ -1,4 +1,4 @@
-// A call at its entry node, as the filters of the pipeline see it.
+// The state of a call at its entry node, as the filters of the pipeline see it.
 
 #ifndef BULRUSHMOUNT_CORE_PIPELINE_CALL_H_
 #define BULRUSHMOUNT_CORE_PIPELINE_CALL_H_
@@ -20,69 +20,70 @@
 
 namespace bulrushmount {
 
-// What the workspace's contract says of this call. Copied at arrival, so that a
-// change of the contract does not alter a call that is under way.
+// The terms of the contract or route that apply to this call. Copied at
+// arrival, so that a configuration change does not alter a call in progress.
 struct CallTerms {
   KindTerms kind;
   double share = 1.0;
   Duration key_retention{};
   // 0 is the most urgent.
   std::uint32_t priority = 0;
-  // Targets that the call may be handed to.
+  // Maximum number of targets that the call may be handed to.
   std::uint32_t max_hand_overs = std::numeric_limits<std::uint32_t>::max();
 };
 
-// One attempt that has been sent and has not ended.
+// An attempt that was sent to an owner and has not ended.
 struct Attempt {
   AttemptNumber number;
   Dispatch dispatch;
   bool is_answer_begun = false;
-  // One retry of the budget is set aside for the case that it is refused.
+  // A retry is reserved for the case that this attempt is refused.
   bool has_retry = false;
-  // It asked for a fast start.
+  // The owner may refuse it if the target cannot start it quickly.
   bool is_selective = false;
-  // Owners refuse too often for the call to ask another one for want of room.
-  bool is_bounded = false;
+  // The ask budget is spent: a refusal for lack of capacity ends the call.
+  bool is_ask_budget_spent = false;
 };
 
 struct Call {
   CallId id;
   CallHead head;
   TimePoint arrived_at;
-  // For the first byte of the answer.
+  // Time by which the first byte of the answer must arrive.
   TimePoint deadline;
-  // Since the caller's first try, as far as that is known.
+  // Estimated time between the caller's first attempt and this one; 0 if
+  // unknown.
   Duration waited_before{};
   CallTerms terms;
 
-  // Index of the filter that the call waits in, or the number of filters once
-  // it has passed them all.
+  // Index of the filter that currently holds the call, or the number of filters
+  // once it has passed them all.
   std::size_t next_filter = 0;
 
-  // Held until the call ends.
+  // Resources held until the call ends.
   std::optional<ClaimId> claim;
   bool holds_limit = false;
   bool holds_permit = false;
 
   std::optional<Attempt> attempt;
   std::uint32_t attempts_made = 0;
-  // Of these, those that reached a target, or may have.
+  // Attempts that reached a target or may have reached one.
   std::uint32_t hand_overs = 0;
   std::vector<NodeId> tried;
-  // Of those, the ones that were only too slow.
+  // Owners in `tried` that refused only because their target was too slow.
   OfferList offers;
-  // Attempts that asked for a fast start.
+  // Number of attempts with `is_selective` set.
   std::uint32_t selective_attempts = 0;
   Reason last_refusal = Reason::kNone;
-  // As the owner that was asked last told it.
+  // Load report of the most recent owner.
   LoadReport last_load;
-  // Of calls like it, the part that was refused unsent when it came.
+  // Share of calls of its class that were throttled when it arrived.
   double throttled_share = 0;
-  // Some attempt ended without a refusal and without a whole answer.
+  // An attempt ended with neither a refusal nor a complete answer.
   bool may_have_run = false;
-  // Why, of the last such attempt.
+  // Reason of the last such attempt.
   Reason unknown_reason = Reason::kNone;
-  // Nobody is left to be told anything.
+  // The caller's connection is closed; no result can be delivered.
   bool is_caller_disconnected = false;
   std::optional<TimePoint> answer_begun_at;
   // The status of the answer that is being relayed.
@@ -93,9 +94,10 @@
 struct CallEnd {
   Outcome outcome = Outcome::kNotRun;
   Reason reason = Reason::kNone;
-  // The whole answer, for the claims; only with kAnswered.
+  // The complete answer, recorded with the claim; only with kAnswered.
   StoredAnswer answer;
-  // The answer came from an earlier run of the same key.
+  // The answer is replayed from an earlier request with the same idempotency
+  // key.
   bool is_replay = false;
 };
 
--- a/source/core/pipeline/call_class.h
+++ b/source/core/pipeline/call_class.h
@@ -1,4 +1,5 @@
-// Calls that are expected to fare alike.
+// Groups calls of one service and kind, which are expected to get similar
+// results.
 
 #ifndef BULRUSHMOUNT_CORE_PIPELINE_CALL_CLASS_H_
 #define BULRUSHMOUNT_CORE_PIPELINE_CALL_CLASS_H_
@@ -11,8 +12,8 @@
   ServiceName service;
   KindName kind;
 
-  // By the ids' values: clang-tidy takes the comparison of strong types for a
-  // null pointer's.
+  // Compares the underlying values because clang-tidy mistakes a comparison of
+  // strong types for a null pointer comparison.
   friend bool operator<(const CallClass& left, const CallClass& right) {
     const int order = left.service.value().compare(right.service.value());
     return order != 0 ? order < 0
--- a/source/core/pipeline/call_pipeline.cc
+++ b/source/core/pipeline/call_pipeline.cc
@@ -1,4 +1,4 @@
-// Part of `call_pipeline.h`.
+// Implements `call_pipeline.h`.
 
 #include "core/pipeline/call_pipeline.h"
 
@@ -45,7 +45,7 @@
   Call* found = Find(call);
   if (!found)
     return;
-  // Nothing is left to give back.
+  // The permit is already lost and must not be released later.
   found->holds_permit = false;
   m_sink.OnPermitLost(now, *found);
 }
@@ -54,7 +54,7 @@
   const auto found = m_calls.find(call);
   if (found == m_calls.end())
     return;
-  // Taken out first, so that nothing called below ends the call again.
+  // Removed first, so that no callback below can end the call again.
   const std::unique_ptr<Entry> entry = std::move(found->second);
   m_calls.erase(found);
   m_deadlines.erase({entry->call.deadline, call});
--- a/source/core/pipeline/call_pipeline.h
+++ b/source/core/pipeline/call_pipeline.h
@@ -1,4 +1,4 @@
-// The calls of an entry node on their way through the filters, and their
+// Runs the calls of an entry node through the filters and tracks their
 // deadlines.
 
 #ifndef BULRUSHMOUNT_CORE_PIPELINE_CALL_PIPELINE_H_
@@ -16,7 +16,8 @@
 
 namespace bulrushmount {
 
-// What comes after the filters.
+// Receives calls that have passed all filters, and the events of calls in
+// progress.
 class CallSink {
  public:
   virtual ~CallSink() = default;
@@ -27,10 +28,11 @@
   // The call's deadline has passed and no answer has begun.
   virtual void OnDeadline(TimePoint now, Call& call) = 0;
 
-  // The quarantine's permit of a call that runs is lost: stop the run.
+  // A running call has lost its quarantine permit: its attempt must be
+  // cancelled.
   virtual void OnPermitLost(TimePoint now, Call& call) = 0;
 
-  // The call has ended and is about to be forgotten.
+  // The call has ended and is removed after this call returns.
   virtual void OnCallEnded(TimePoint now, Call& call, const CallEnd& end) = 0;
 };
 
@@ -39,7 +41,7 @@
   // `sink` must outlive the object.
   explicit CallPipeline(CallSink& sink) : m_sink(sink) {}
 
-  // In the order in which calls are to pass.
+  // Filters run in the order in which they are added.
   void AddFilter(std::unique_ptr<CallFilter> filter);
 
   void Start(TimePoint now, CallId id, CallHead head);
@@ -48,12 +50,14 @@
   bool TakePermit(CallId call) override;
   void OnPermitLost(TimePoint now, CallId call) override;
 
-  // Ends the call: the filters give back what they took, and the sink is told.
+  // Ends the call: the filters release what they hold, then the sink is
+  // notified.
   void End(TimePoint now, CallId call, const CallEnd& end);
 
-  // A filter or the sink has set `call.deadline`.
+  // Starts the deadline timer; `call.deadline` must be set.
   void ArmDeadline(Call& call);
-  // The answer has begun: from here on progress counts, not the deadline.
+  // Stops the deadline timer when the answer has begun: from then on only lack
+  // of progress ends the call.
   void DisarmDeadline(Call& call);
 
   // Null once the call has ended.
@@ -67,21 +71,21 @@
  private:
   struct Entry {
     Call call;
-    // Set while a filter of this call runs: a verdict that arrives meanwhile
-    // is kept here, so that filters may resume before they return.
+    // True while a filter runs for this call. A verdict that arrives meanwhile
+    // is stored below, so that a filter may resume the call before it returns.
     bool is_in_filter = false;
     std::optional<FilterVerdict> early_verdict;
   };
 
   void RunFilters(TimePoint now, CallId id);
   FilterVerdict RunFilter(TimePoint now, Entry& entry);
-  // False if the call waits or has ended.
+  // Applies a verdict. Returns false if the call is held or has ended.
   bool Settle(TimePoint now, CallId id, const FilterVerdict& verdict);
 
   CallSink& m_sink;
   std::vector<std::unique_ptr<CallFilter>> m_filters;
   std::unordered_map<CallId, std::unique_ptr<Entry>> m_calls;
-  // Of calls whose answer has not begun.
+  // Deadlines of calls whose answer has not begun.
   std::set<std::pair<TimePoint, CallId>> m_deadlines;
 };
 
--- a/source/core/pipeline/claim_filter.cc
+++ b/source/core/pipeline/claim_filter.cc
@@ -1,4 +1,4 @@
-// Part of `claim_filter.h`.
+// Implements `claim_filter.h`.
 
 #include "core/pipeline/claim_filter.h"
 
@@ -21,7 +21,8 @@
   request.fingerprint = call.head.fingerprint;
   request.deadline = call.deadline;
   request.retention = call.terms.key_retention;
-  // Set before the result: a call that ends while it waits gives up the claim.
+  // Set before the result is known, so that a call that ends while it waits
+  // releases its claim.
   const CallId id = call.id;
   call.claim = m_claims.Acquire(
       now, std::move(request),
@@ -30,7 +31,7 @@
           m_continuation.Resume(at, id, PassCall{});
           return;
         }
-        m_continuation.Resume(at, id, EndCall{EndOfUnclaimed(result)});
+        m_continuation.Resume(at, id, EndCall{CallEndWithoutClaim(result)});
       });
   return HoldCall{};
 }
@@ -39,8 +40,7 @@
   if (!call.claim)
     return;
   const ClaimId claim = *std::exchange(call.claim, std::nullopt);
-  // Of a claim that was not granted the book knows no more: each of these is
-  // ignored then.
+  // The claim book ignores each of these for a claim that was not granted.
   if (end.outcome == Outcome::kAnswered)
     m_claims.Finish(now, claim, end.answer);
   else if (call.may_have_run)
@@ -49,7 +49,7 @@
     m_claims.Release(now, claim);
 }
 
-CallEnd EndOfUnclaimed(const ClaimResult& result) {
+CallEnd CallEndWithoutClaim(const ClaimResult& result) {
   CallEnd end;
   end.reason = ReasonOf(result.status);
   switch (result.status) {
@@ -58,8 +58,9 @@
       end.answer = ToReplay(result.answer);
       end.is_replay = true;
       break;
-    // The request that the key stands for runs or has run elsewhere. "Not run"
-    // would be true of this copy of it, and its caller would book again.
+    // The original request with this key is running or has run elsewhere. "Not
+    // run" would be correct only for this copy, and the caller would repeat an
+    // operation that may have been executed.
     case ClaimStatus::kInProgress:
     case ClaimStatus::kEarlierOutcomeUnknown:
       end.outcome = Outcome::kUnknown;
--- a/source/core/pipeline/claim_filter.h
+++ b/source/core/pipeline/claim_filter.h
@@ -1,4 +1,4 @@
-// Claims the key of a request that may not be repeated, before it is sent.
+// Claims the idempotency key of a non-repeatable request before it is sent.
 
 #ifndef BULRUSHMOUNT_CORE_PIPELINE_CLAIM_FILTER_H_
 #define BULRUSHMOUNT_CORE_PIPELINE_CLAIM_FILTER_H_
@@ -14,8 +14,8 @@
   ClaimFilter(ClaimBook& claims, FilterContinuation& continuation)
       : m_claims(claims), m_continuation(continuation) {}
 
-  // Refuses a call that needs a key and has none. A repeatable kind needs no
-  // claim, with a key or without.
+  // Refuses a call that requires a key and has none. A repeatable kind never
+  // needs a claim, with or without a key.
   FilterVerdict OnCall(TimePoint now, Call& call) override;
   void OnCallEnded(TimePoint now, Call& call, const CallEnd& end) override;
 
@@ -24,8 +24,8 @@
   FilterContinuation& m_continuation;
 };
 
-// How a call ends whose claim was not granted.
-CallEnd EndOfUnclaimed(const ClaimResult& result);
+// The result of a call whose claim was not granted.
+CallEnd CallEndWithoutClaim(const ClaimResult& result);
 
 }  // namespace bulrushmount
 
--- a/source/core/pipeline/contract_filter.cc
+++ b/source/core/pipeline/contract_filter.cc
@@ -1,4 +1,4 @@
-// Part of `contract_filter.h`.
+// Implements `contract_filter.h`.
 
 #include "core/pipeline/contract_filter.h"
 
@@ -18,7 +18,7 @@
   call.terms.kind = *matched.kind;
   call.terms.share = matched.terms->share;
   call.terms.key_retention = matched.terms->key_retention;
-  // The caller may only shorten what the contract grants.
+  // The caller may shorten the deadline of the contract but not extend it.
   const Duration granted = matched.kind->deadline;
   call.deadline = now + std::min(head.deadline.value_or(granted), granted);
   m_pipeline.ArmDeadline(call);
--- a/source/core/pipeline/contract_filter.h
+++ b/source/core/pipeline/contract_filter.h
@@ -1,4 +1,5 @@
-// Finds what the workspace's contract says of a call, and sets its deadline.
+// Looks up the terms of the workspace's contract for a call and sets its
+// deadline.
 
 #ifndef BULRUSHMOUNT_CORE_PIPELINE_CONTRACT_FILTER_H_
 #define BULRUSHMOUNT_CORE_PIPELINE_CONTRACT_FILTER_H_
--- a/source/core/pipeline/dispatcher.cc
+++ b/source/core/pipeline/dispatcher.cc
@@ -1,4 +1,4 @@
-// Part of `dispatcher.h`.
+// Implements `dispatcher.h`.
 
 #include "core/pipeline/dispatcher.h"
 
@@ -18,19 +18,20 @@
 
 constexpr int kFirstServerError = 500;
 
-// What an attempt elsewhere is given, as a multiple of the mean time: half of
-// it more, since times spread and a further attempt may be needed.
-constexpr double kRoomToSpare = 1.6;
+// Time allowed for an attempt in another zone, as a multiple of its mean time:
+// it covers the variation of the mean and a possible further attempt.
+constexpr double kRemoteAttemptMargin = 1.6;
 
-// Shorter holds end before anything at the target could change.
-constexpr Duration kLeastHold = std::chrono::milliseconds(20);
+// A shorter hold would end before anything at the target could change.
+constexpr Duration kMinHold = std::chrono::milliseconds(20);
 
-// Whether the request reached a target, although that did not run it.
-bool HasArrived(Reason reason) {
+// Whether the request reached a target that did not run it.
+bool ReachedTarget(Reason reason) {
   return reason == Reason::kShed || reason == Reason::kWrongTarget;
 }
 
-// Until an answer is worth little. It counts from the caller's first try.
+// Remaining time of the latency objective, which counts from the first attempt
+// of the caller.
 Duration ObjectiveLeft(TimePoint now, const Call& call) {
   return call.terms.kind.objective.within - call.waited_before -
          (now - call.arrived_at);
@@ -48,7 +49,7 @@
 
 void Dispatcher::Start(TimePoint now, Call& call) {
   m_parts.retries.OnFirstAttempt(now, call.head.service);
-  m_asks.OnCall(now, call.head.service);
+  m_ask_budget.OnCall(now, call.head.service);
   TryNextOwner(now, call);
 }
 
@@ -59,21 +60,22 @@
   m_parts.router.OnRefused(now, call->attempt->dispatch, event.reason,
                            event.load);
   call->last_refusal = event.reason;
-  RecordReport(now, *call, event.load);
-  const bool has_arrived = HasArrived(event.reason);
-  if (has_arrived)
+  RecordLoadReport(now, *call, event.load);
+  const bool reached_target = ReachedTarget(event.reason);
+  if (reached_target)
     ++call->hand_overs;
-  if (SaysNoRoom(event.reason))
-    m_asks.OnRefused(now, call->head.service);
+  if (IsCapacityRefusal(event.reason))
+    m_ask_budget.OnRefused(now, call->head.service);
   if (event.reason == Reason::kSlowTarget)
     call->offers.Add(call->attempt->dispatch.node, event.load.slowdown);
-  // Another owner would refuse a suspect request too, and one that no room was
-  // found for where most are refused. One that met a leaving owner goes on.
-  const bool is_worth_it =
+  // Another owner would also refuse a suspect request. If most owners refuse, a
+  // refusal for lack of capacity ends the call as well; a refusal by a leaving
+  // owner does not.
+  const bool may_retry =
       event.reason != Reason::kQuarantined &&
       event.reason != Reason::kSuspect &&
-      !(call->attempt->is_bounded && SaysNoRoom(event.reason));
-  if (EndAttempt(now, *call, is_worth_it, has_arrived))
+      !(call->attempt->is_ask_budget_spent && IsCapacityRefusal(event.reason));
+  if (EndAttempt(now, *call, may_retry, reached_target))
     TryNextOwner(now, *call);
   else
     GiveUp(now, *call, event.reason);
@@ -85,7 +87,7 @@
     return;
   m_parts.router.OnAnswerBegun(now, call->attempt->dispatch, event.load,
                                QualityOf(event.status));
-  RecordReport(now, *call, event.load);
+  RecordLoadReport(now, *call, event.load);
   m_parts.pipeline.DisarmDeadline(*call);
   call->attempt->is_answer_begun = true;
   call->answer_begun_at = now;
@@ -97,7 +99,7 @@
 
 void Dispatcher::OnAnswerEnded(TimePoint now, const AttemptAnswerEnded& event) {
   Call* call = FindAttempt(event.call, event.attempt);
-  // Nothing of an answer that has not begun is with the caller.
+  // An answer that has not begun cannot be complete.
   if (!call || !call->attempt->is_answer_begun)
     return;
   m_parts.router.OnEnded(now, call->attempt->dispatch, event.load);
@@ -115,10 +117,11 @@
   m_parts.pipeline.End(now, call->id, end);
 }
 
-// An owner without a target that takes work tells of no start.
-void Dispatcher::RecordReport(TimePoint now,
-                              Call& call,
-                              const LoadReport& load) {
+// A report without a limit comes from an owner whose target accepts no work, so
+// its slowdown is not recorded.
+void Dispatcher::RecordLoadReport(TimePoint now,
+                                  Call& call,
+                                  const LoadReport& load) {
   call.last_load = load;
   if (load.limit > 0)
     m_slowdown_threshold.OnReported(now, call.head.service,
@@ -130,15 +133,15 @@
   if (!call)
     return;
   m_parts.router.OnLost(now, call->attempt->dispatch);
-  const bool is_worth_it =
-      event.is_certainly_not_run || MaySendUnknown(*call, event.reason);
+  const bool may_retry =
+      event.is_certainly_not_run || MayRetryUnknownOutcome(*call, event.reason);
   if (event.is_certainly_not_run) {
     call->last_refusal = event.reason;
   } else {
     ++call->hand_overs;
-    RecordUnknown(*call, event.reason);
+    RecordUnknownOutcome(*call, event.reason);
   }
-  if (EndAttempt(now, *call, is_worth_it, !event.is_certainly_not_run))
+  if (EndAttempt(now, *call, may_retry, !event.is_certainly_not_run))
     TryNextOwner(now, *call);
   else
     GiveUp(now, *call, event.reason);
@@ -160,16 +163,17 @@
   m_parts.router.OnLost(now, dispatch);
   m_parts.actions.Push(CancelAttempt{call->id, event.attempt});
   ++call->hand_overs;
-  RecordUnknown(*call, Reason::kNodeLost);
+  RecordUnknownOutcome(*call, Reason::kNodeLost);
   call->attempt.reset();
   TryNextOwner(now, *call);
 }
 
-// Under a budget that is reserved for each attempt the retry is the attempt's
-// own, and cannot be taken while it goes on.
+// If a retry is reserved for each attempt, it belongs to the attempt and cannot
+// be spent while the attempt is in progress.
 bool Dispatcher::MayLeaveSilentOwner(const Call& call) const {
   return m_settings.leaves_silent_owners && m_settings.is_refusal_free &&
-         HasOthers(call) && MaySendUnknown(call, Reason::kNodeLost);
+         HasOtherOwners(call) &&
+         MayRetryUnknownOutcome(call, Reason::kNodeLost);
 }
 
 void Dispatcher::OnStalled(TimePoint now, CallId id) {
@@ -229,13 +233,13 @@
                                             bool& is_selective) {
   const bool may_choose =
       call.selective_attempts < m_settings.selective_attempts &&
-      MayAskMore(now, call);
+      MayTryAnotherOwner(now, call);
   if (!may_choose) {
     if (const std::optional<NodeId> best = TakeOffer(now, call))
       return best;
   }
   const PickRequest request{call.terms.kind.weight, call.deadline - now,
-                            call.tried, ZoneTransfer(call)};
+                            call.tried, CrossZoneDelay(call)};
   const std::optional<NodeId> picked =
       m_parts.router.Pick(now, call.head.service, request, m_parts.random);
   if (!picked)
@@ -251,7 +255,7 @@
     return true;
   if (m_parts.claims.CheckBeforeDispatch(now, *call.claim))
     return true;
-  // The claim book has already written what became of the claim.
+  // The claim book has already recorded the result of the claim.
   call.claim.reset();
   return false;
 }
@@ -277,7 +281,7 @@
                         false,
                         is_selective || ReserveRetry(now, call),
                         is_selective,
-                        !is_selective && !MayAskMore(now, call)};
+                        !is_selective && !MayTryAnotherOwner(now, call)};
   call.attempt = attempt;
   m_parts.router.OnSent(attempt.dispatch);
   m_parts.actions.Push(DispatchAttempt{call.id, attempt.number, owner.id,
@@ -285,42 +289,44 @@
                                        MakeWorkHead(now, call, owner)});
 }
 
-bool Dispatcher::HasOthers(const Call& call) const {
+bool Dispatcher::HasOtherOwners(const Call& call) const {
   return call.tried.size() < m_parts.router.TargetsOf(call.head.service) ||
          !call.offers.empty();
 }
 
 bool Dispatcher::ReserveRetry(TimePoint now, const Call& call) {
-  return call.attempts_made < m_settings.max_attempts && HasOthers(call) &&
+  return call.attempts_made < m_settings.max_attempts && HasOtherOwners(call) &&
          (m_settings.is_refusal_free ||
           m_parts.retries.Reserve(now, call.head.service));
 }
 
-bool Dispatcher::MayAskMore(TimePoint now, const Call& call) {
+bool Dispatcher::MayTryAnotherOwner(TimePoint now, const Call& call) {
   return !m_settings.bounds_refusals ||
-         m_asks.MayAskMore(now, call.head.service,
-                           m_parts.router.TargetsOf(call.head.service));
+         m_ask_budget.MayTryAnotherOwner(
+             now, call.head.service,
+             m_parts.router.TargetsOf(call.head.service));
 }
 
-Duration Dispatcher::ZoneTransfer(const Call& call) const {
+Duration Dispatcher::CrossZoneDelay(const Call& call) const {
   const double kilobytes = m_profiles.BodyBytes(call.terms.kind.name) / 1000;
   return FromSeconds(kilobytes * ToSeconds(m_settings.zone_kilobyte));
 }
 
-// Load pattern: the target in this zone is disturbed for some hundred
-// milliseconds. A large answer from elsewhere costs more than the wait for the
-// end of that, so the owner may keep its request as long as another attempt
-// would still be in time with room to spare.
+// Load pattern: the target in this zone is slow for some hundred milliseconds.
+// Transferring a large answer from another zone costs more than waiting until
+// that is over, so the owner may hold the request as long as an attempt
+// elsewhere would still be in time with a margin.
 Duration Dispatcher::MaxHold(TimePoint now,
                              const Call& call,
                              const Member& owner) const {
   if (owner.zone != m_settings.zone || !call.attempt->is_selective)
     return Duration::zero();
-  const Duration needed_elsewhere = FromSeconds(
-      kRoomToSpare * ToSeconds(m_profiles.FirstByte(call.terms.kind.name)));
-  const Duration hold =
-      std::min(ZoneTransfer(call), ObjectiveLeft(now, call) - needed_elsewhere);
-  return hold >= kLeastHold ? hold : Duration::zero();
+  const Duration needed_elsewhere =
+      FromSeconds(kRemoteAttemptMargin *
+                  ToSeconds(m_profiles.FirstByte(call.terms.kind.name)));
+  const Duration hold = std::min(CrossZoneDelay(call),
+                                 ObjectiveLeft(now, call) - needed_elsewhere);
+  return hold >= kMinHold ? hold : Duration::zero();
 }
 
 double Dispatcher::AcceptableSlowdown(TimePoint now, const Call& call) const {
@@ -349,11 +355,12 @@
   head.share = call.terms.share;
   head.is_repeatable = call.terms.kind.is_repeatable;
   head.is_suspect = call.holds_permit;
-  // A choosy attempt may be made again at the same owner. That is nobody else:
-  // the owner would let it wait for moments only, for others that are not
-  // there.
-  head.is_last_attempt =
-      !call.attempt->has_retry || call.attempt->is_bounded || !HasOthers(call);
+  // A selective attempt may later be repeated at the same owner, which does not
+  // count as another owner: otherwise the owner would hold the request only
+  // briefly, for alternatives that do not exist.
+  head.is_last_attempt = !call.attempt->has_retry ||
+                         call.attempt->is_ask_budget_spent ||
+                         !HasOtherOwners(call);
   head.priority = call.terms.priority;
   if (m_settings.has_objectives)
     head.objective_left = ObjectiveLeft(now, call);
@@ -363,9 +370,9 @@
   return head;
 }
 
-// A request that was running when its target was lost may be what crashed it:
-// sending it on would take the next target down too.
-bool Dispatcher::MaySendUnknown(const Call& call, Reason reason) const {
+// A request that was running when its target was lost may have caused the
+// crash: sending it on could crash the next target too.
+bool Dispatcher::MayRetryUnknownOutcome(const Call& call, Reason reason) const {
   const bool may_have_crashed_target =
       reason == Reason::kTargetLost && !m_settings.is_refusal_free;
   return call.terms.kind.is_repeatable && !call.may_have_run &&
@@ -375,16 +382,16 @@
 
 bool Dispatcher::EndAttempt(TimePoint now,
                             Call& call,
-                            bool is_worth_it,
-                            bool has_arrived) {
+                            bool may_retry,
+                            bool reached_target) {
   const bool has_retry = call.attempt->has_retry;
   call.attempt.reset();
   if (!has_retry)
     return false;
   if (m_settings.is_refusal_free)
-    return is_worth_it && now < call.deadline &&
-           (!has_arrived || TakeRetry(now, call));
-  if (is_worth_it && now < call.deadline) {
+    return may_retry && now < call.deadline &&
+           (!reached_target || TakeRetry(now, call));
+  if (may_retry && now < call.deadline) {
     m_parts.retries.Spend(now, call.head.service);
     return true;
   }
@@ -392,8 +399,8 @@
   return false;
 }
 
-// A further hand-over, within what the operator allows the call and within the
-// budget of the fleet.
+// Spends a retry if both the attempt limit of the route and the retry budget of
+// the fleet allow it.
 bool Dispatcher::TakeRetry(TimePoint now, const Call& call) {
   if (call.hand_overs >= call.terms.max_hand_overs ||
       !m_parts.retries.Reserve(now, call.head.service))
@@ -404,7 +411,8 @@
 
 void Dispatcher::GiveUp(TimePoint now, Call& call, Reason reason) {
   CallEnd end{Outcome::kNotRun, reason, {}, false};
-  // Once an attempt may have run, no later refusal makes the call "not run".
+  // Once an attempt may have run, no later refusal can turn the result into
+  // "not run".
   if (call.may_have_run) {
     end.outcome = Outcome::kUnknown;
     end.reason = call.unknown_reason;
@@ -417,11 +425,11 @@
     return;
   m_parts.router.OnCancelled(now, call.attempt->dispatch);
   m_parts.actions.Push(CancelAttempt{call.id, call.attempt->number});
-  RecordUnknown(call, reason);
+  RecordUnknownOutcome(call, reason);
   EndAttempt(now, call, false, true);
 }
 
-void Dispatcher::RecordUnknown(Call& call, Reason reason) {
+void Dispatcher::RecordUnknownOutcome(Call& call, Reason reason) {
   call.may_have_run = true;
   call.unknown_reason = reason;
 }
--- a/source/core/pipeline/dispatcher.h
+++ b/source/core/pipeline/dispatcher.h
@@ -1,5 +1,6 @@
-// Sends an accepted call to the owners of targets, one attempt after another,
-// until it has an answer or a truthful refusal.
+// Sends an accepted call to owners of targets, one attempt at a time, until it
+// is answered or ends with a refusal that states correctly whether it may have
+// run.
 
 #ifndef BULRUSHMOUNT_CORE_PIPELINE_DISPATCHER_H_
 #define BULRUSHMOUNT_CORE_PIPELINE_DISPATCHER_H_
@@ -21,7 +22,7 @@
 
 namespace bulrushmount {
 
-// Where the actions go.
+// Receives the actions that the node has to carry out.
 class ActionSink {
  public:
   virtual ~ActionSink() = default;
@@ -46,23 +47,25 @@
   std::uint32_t max_attempts = 4;
   // See NodeSettings.
   bool is_refusal_free = false;
-  // Owners are told until when an answer is worth its full credit.
+  // Attempts carry the time left of the latency objective.
   bool has_objectives = false;
-  // Owners that are asked for a fast start before the call takes the least
-  // slow one that was found; 0: any start will do. Each costs a round trip.
+  // Number of owners tried for a fast start before the call takes the fastest
+  // start that was offered; 0: any start is accepted. Each attempt costs a
+  // round trip.
   std::uint32_t selective_attempts = 0;
   // See PolicySwitches.
   bool accepts_hardly_worse = true;
   bool leaves_silent_owners = true;
-  // The owners asked for each call are bounded where most of them refuse.
+  // Limits the attempts per call when most owners refuse; see AskBudget.
   bool bounds_refusals = false;
-  // Answers up to this size are kept for the repeats of a keyed request.
+  // Answers up to this size are stored for replay to repeats of a request with
+  // an idempotency key.
   std::size_t max_kept_answer_bytes = std::size_t{16} * 1024;
 };
 
-// The rules of another attempt: after a refusal, which is certainly not run,
-// any request may be sent again within the retry budget; after an unknown
-// outcome only a repeatable one, once.
+// Dispatches calls and decides on retries. After a refusal the request has
+// certainly not run, so any request may be retried within the retry budget.
+// After an unknown outcome only a repeatable request is retried, and only once.
 class Dispatcher {
  public:
   struct Parts {
@@ -78,7 +81,7 @@
   // The parts must outlive the object.
   Dispatcher(const DispatcherSettings& settings, const Parts& parts);
 
-  void SetFleetSize(std::size_t nodes) { m_asks.SetFleetSize(nodes); }
+  void SetFleetSize(std::size_t nodes) { m_ask_budget.SetFleetSize(nodes); }
 
   void Start(TimePoint now, Call& call);
 
@@ -86,10 +89,11 @@
   void OnAnswerBegun(TimePoint now, const AttemptAnswerBegun& event);
   void OnAnswerEnded(TimePoint now, const AttemptAnswerEnded& event);
   void OnLost(TimePoint now, const AttemptLost& event);
-  // Load pattern: a node is gone without a word, and until its connections are
-  // given up everything sent to it waits, most of it to the end of its time.
-  // What may be repeated goes elsewhere at once; what may not waits on, since
-  // the node may have handed it over and be back.
+  // Load pattern: a node disappears without closing its connections, and until
+  // these time out every request sent to it waits, most of them until their
+  // deadline. A repeatable request is retried elsewhere at once. A
+  // non-repeatable one keeps waiting, since the node may have handed it to the
+  // target and may become reachable again.
   void OnSilent(TimePoint now, const AttemptSilent& event);
   void OnStalled(TimePoint now, CallId call);
   void OnCallerDisconnected(TimePoint now, CallId call);
@@ -97,50 +101,51 @@
   void OnPermitLost(TimePoint now, Call& call);
 
  private:
-  // Null if the event is about an attempt that is no longer the call's.
+  // Null if the event belongs to an attempt that is no longer current.
   Call* FindAttempt(CallId call, AttemptNumber attempt);
   void TryNextOwner(TimePoint now, Call& call);
-  // The owner to ask next; sets `is_selective` if it may refuse for slowness.
+  // Picks the next owner; sets `is_selective` if it may refuse because its
+  // target is slow.
   std::optional<NodeId> PickOwner(TimePoint now,
                                   Call& call,
                                   bool& is_selective);
   bool MaySend(TimePoint now, Call& call);
   std::optional<NodeId> TakeOffer(TimePoint now, Call& call);
   void Send(TimePoint now, Call& call, const Member& owner, bool is_selective);
-  // Whether anybody is left to ask after the attempts made so far.
-  bool HasOthers(const Call& call) const;
-  // Sets a retry aside for the attempt about to be sent, where another target
-  // could take it; EndAttempt spends or returns it.
+  // Whether any owner is left to try after the attempts made so far.
+  bool HasOtherOwners(const Call& call) const;
+  // Reserves a retry for the attempt about to be sent, if another target could
+  // take it; EndAttempt spends or returns it.
   bool ReserveRetry(TimePoint now, const Call& call);
-  // Whether it may be refused and sent to another owner; see AskBudget.
-  bool MayAskMore(TimePoint now, const Call& call);
+  // Whether the call may try another owner after a refusal; see AskBudget.
+  bool MayTryAnotherOwner(TimePoint now, const Call& call);
   WorkHead MakeWorkHead(TimePoint now,
                         const Call& call,
                         const Member& owner) const;
-  void RecordReport(TimePoint now, Call& call, const LoadReport& load);
+  void RecordLoadReport(TimePoint now, Call& call, const LoadReport& load);
   double AcceptableSlowdown(TimePoint now, const Call& call) const;
-  // What the answer's bytes would cost between zones, as a wait.
-  Duration ZoneTransfer(const Call& call) const;
+  // Cost of transferring the answer between zones, expressed as a delay.
+  Duration CrossZoneDelay(const Call& call) const;
   Duration MaxHold(TimePoint now, const Call& call, const Member& owner) const;
-  // Whether an attempt whose outcome is unknown may be followed by another.
-  bool MaySendUnknown(const Call& call, Reason reason) const;
-  // Takes the call's attempt away. True if the call is to be sent again: the
-  // retry is then counted.
+  // Whether an attempt with an unknown outcome may be followed by another.
+  bool MayRetryUnknownOutcome(const Call& call, Reason reason) const;
+  // Removes the call's current attempt. Returns true if the call is to be sent
+  // again; the retry is then counted.
   bool EndAttempt(TimePoint now,
                   Call& call,
-                  bool is_worth_it,
-                  bool has_arrived);
+                  bool may_retry,
+                  bool reached_target);
   bool TakeRetry(TimePoint now, const Call& call);
   bool MayLeaveSilentOwner(const Call& call) const;
   void GiveUp(TimePoint now, Call& call, Reason reason);
-  // Gives up an attempt that is under way: it may have run.
+  // Cancels an attempt in progress and records that it may have run.
   void AbandonAttempt(TimePoint now, Call& call, Reason reason);
-  static void RecordUnknown(Call& call, Reason reason);
+  static void RecordUnknownOutcome(Call& call, Reason reason);
 
   DispatcherSettings m_settings;
   Parts m_parts;
   SlowdownThreshold m_slowdown_threshold;
-  AskBudget m_asks;
+  AskBudget m_ask_budget;
   AnswerProfiles m_profiles;
 };
 
--- a/source/core/pipeline/filter.h
+++ b/source/core/pipeline/filter.h
@@ -1,5 +1,4 @@
-// One step that each call passes at its entry: it lets the call on, ends it, or
-// makes it wait.
+// A step of the entry pipeline: it passes a call on, ends it or holds it.
 
 #ifndef BULRUSHMOUNT_CORE_PIPELINE_FILTER_H_
 #define BULRUSHMOUNT_CORE_PIPELINE_FILTER_H_
@@ -14,7 +13,7 @@
 
 struct PassCall {};
 
-// The filter will hand the verdict to `FilterContinuation::Resume`.
+// The filter delivers its verdict later through `FilterContinuation::Resume`.
 struct HoldCall {};
 
 struct EndCall {
@@ -27,19 +26,19 @@
   return EndCall{CallEnd{Outcome::kNotRun, reason, {}, false}};
 }
 
-// How a filter that held a call hands in its verdict later.
+// Delivers the later verdict of a filter that held a call.
 class FilterContinuation {
  public:
   virtual ~FilterContinuation() = default;
 
-  // Calls that have ended meanwhile are ignored.
+  // Ignored if the call has ended meanwhile.
   virtual void Resume(TimePoint now, CallId call, FilterVerdict verdict) = 0;
 
-  // Marks the call as run under a permit of the quarantine. False if it has
+  // Marks the call as the holder of a quarantine permit. False if the call has
   // ended.
   virtual bool TakePermit(CallId call) = 0;
 
-  // The permit is no longer certain to be held by this call alone.
+  // This call may no longer be the only holder of the permit.
   virtual void OnPermitLost(TimePoint now, CallId call) = 0;
 };
 
@@ -49,8 +48,9 @@
 
   virtual FilterVerdict OnCall(TimePoint now, Call& call) = 0;
 
-  // The call ended, here or later: give back what was taken for it. Called for
-  // every call that this filter has seen, in the reverse order of the filters.
+  // The call ended in this filter or later: release what was acquired for it.
+  // Called for every call that this filter has seen, in the reverse order of
+  // the filters.
   virtual void OnCallEnded(TimePoint now, Call& call, const CallEnd& end) {}
 };
 
--- a/source/core/pipeline/limit_filter.cc
+++ b/source/core/pipeline/limit_filter.cc
@@ -1,4 +1,4 @@
-// Part of `limit_filter.h`.
+// Implements `limit_filter.h`.
 
 #include "core/pipeline/limit_filter.h"
 
--- a/source/core/pipeline/limit_filter.h
+++ b/source/core/pipeline/limit_filter.h
@@ -1,4 +1,4 @@
-// Applies the workspace's limits to a call.
+// Applies the rate and concurrency limits of the workspace to a call.
 
 #ifndef BULRUSHMOUNT_CORE_PIPELINE_LIMIT_FILTER_H_
 #define BULRUSHMOUNT_CORE_PIPELINE_LIMIT_FILTER_H_
--- a/source/core/pipeline/nested_calls.h
+++ b/source/core/pipeline/nested_calls.h
@@ -1,9 +1,10 @@
-// Learns which calls the target beside this node makes for its own requests.
+// Detects which calls the local target makes while serving its own requests
+// (nested calls).
 //
-// A target's calls come to its node like those of any caller. But a target
-// whose call fails answers its request with an error at once. So a kind of call
-// whose failures are followed by an error of the target is one that its
-// requests need.
+// Calls of a target arrive at its node like those of any other caller. But a
+// target whose call fails answers its own request with an error at once. So if
+// failures of a class of calls are usually followed by an error of the local
+// target, the calls of that class are nested.
 
 #ifndef BULRUSHMOUNT_CORE_PIPELINE_NESTED_CALLS_H_
 #define BULRUSHMOUNT_CORE_PIPELINE_NESTED_CALLS_H_
@@ -20,65 +21,67 @@
 
 class NestedCalls {
  public:
-  // A call of this class got no answer of its service.
+  // A call of this class was not answered by its service.
   void OnCallFailed(TimePoint now, const CallClass& calls) {
-    Forget(now);
+    ExpireFailures(now);
     const bool is_full = m_classes.size() >= kMaxClasses;
-    if (m_waiting.size() >= kMaxWaiting ||
+    if (m_pending.size() >= kMaxPending ||
         (is_full && !m_classes.contains(calls)))
       return;
-    m_waiting.push_back({calls, now});
+    m_pending.push_back({calls, now});
   }
 
-  // The target beside answered a request with an error.
+  // The local target answered a request with an error.
   void OnTargetError(TimePoint now) {
-    Forget(now);
-    for (const Failure& failure : m_waiting)
-      Learn(failure.calls, 1.0);
-    m_waiting.clear();
+    ExpireFailures(now);
+    for (const Failure& failure : m_pending)
+      UpdateShare(failure.calls, 1.0);
+    m_pending.clear();
   }
 
-  // Whether requests of the target beside fail with such a call.
+  // Whether requests of the local target fail when a call of this class fails.
   bool IsNested(const CallClass& calls) const {
     const auto found = m_classes.find(calls);
-    return found != m_classes.end() && found->second >= kLeastShare;
+    return found != m_classes.end() && found->second >= kMinErrorShare;
   }
 
  private:
-  // From the refusal to the error that it causes: the way to a target on the
-  // same machine and back, at a node that is short of processor time.
-  static constexpr Duration kErrorFollows = std::chrono::milliseconds(30);
-  // At 10 errors a second of the target three in ten failures of other calls
-  // are followed by one by chance.
-  static constexpr double kLeastShare = 0.6;
-  // Weight of one failure: five in a row are believed.
-  static constexpr double kGain = 0.2;
-  // Kinds come from the operator; more than this are not looked at.
+  // Longest time between a refusal and the error that it causes: the round trip
+  // to a target on the same machine, on a node that is short of processor time.
+  static constexpr Duration kErrorWindow = std::chrono::milliseconds(30);
+  // At 10 errors per second of the target, 30 % of the failures of unrelated
+  // calls are followed by an error by chance.
+  static constexpr double kMinErrorShare = 0.6;
+  // Weight of one failure in the moving average; five in a row exceed
+  // kMinErrorShare.
+  static constexpr double kSampleWeight = 0.2;
+  // Bounds memory: kinds are configured by the operator, and further ones are
+  // not tracked.
   static constexpr std::size_t kMaxClasses = 1024;
-  // At this many failures within kErrorFollows the rest says nothing more.
-  static constexpr std::size_t kMaxWaiting = 64;
+  // Bounds memory: more failures within kErrorWindow add no information.
+  static constexpr std::size_t kMaxPending = 64;
 
   struct Failure {
     CallClass calls;
     TimePoint at;
   };
 
-  // Failures that no error has followed.
-  void Forget(TimePoint now) {
-    while (!m_waiting.empty() && now - m_waiting.front().at > kErrorFollows) {
-      Learn(m_waiting.front().calls, 0.0);
-      m_waiting.pop_front();
+  // Counts failures older than kErrorWindow as not followed by an error.
+  void ExpireFailures(TimePoint now) {
+    while (!m_pending.empty() && now - m_pending.front().at > kErrorWindow) {
+      UpdateShare(m_pending.front().calls, 0.0);
+      m_pending.pop_front();
     }
   }
 
-  void Learn(const CallClass& calls, double sample) {
+  void UpdateShare(const CallClass& calls, double sample) {
     double& share = m_classes[calls];
-    share += kGain * (sample - share);
+    share += kSampleWeight * (sample - share);
   }
 
-  // Failures that an error may still follow, the oldest first.
-  std::deque<Failure> m_waiting;
-  // Of recent failures, the part that an error followed.
+  // Failures that an error may still follow, oldest first.
+  std::deque<Failure> m_pending;
+  // Moving average of the share of failures that an error followed.
   std::map<CallClass, double> m_classes;
 };
 
--- a/source/core/pipeline/offer_list.h
+++ b/source/core/pipeline/offer_list.h
@@ -1,4 +1,5 @@
-// The targets that would have taken a call, but slower than it hoped for.
+// The targets that refused a call only because its start there would be too
+// slow.
 
 #ifndef BULRUSHMOUNT_CORE_PIPELINE_OFFER_LIST_H_
 #define BULRUSHMOUNT_CORE_PIPELINE_OFFER_LIST_H_
@@ -11,8 +12,9 @@
 
 namespace bulrushmount {
 
-// Each owner that refused for slowness has said how slow a start there would
-// be. When no other is left to ask, the least slow of them gets the call.
+// An owner that refused a call because its target is slow, and the slowdown
+// that it reported. When no other owner is left to try, the call goes to the
+// offer with the smallest slowdown.
 struct Offer {
   NodeId node;
   double slowdown = 1.0;
@@ -26,7 +28,8 @@
 
   bool empty() const { return m_offers.empty(); }
 
-  // Takes out the least slow one; empty if there is none.
+  // Removes and returns the offer with the smallest slowdown; empty if there is
+  // none.
   std::optional<Offer> TakeBest() {
     const auto best =
         std::min_element(m_offers.begin(), m_offers.end(),
--- a/source/core/pipeline/quarantine_filter.cc
+++ b/source/core/pipeline/quarantine_filter.cc
@@ -1,11 +1,12 @@
-// Part of `quarantine_filter.h`.
+// Implements `quarantine_filter.h`.
 
 #include "core/pipeline/quarantine_filter.h"
 
 namespace bulrushmount {
 
 FilterVerdict QuarantineFilter::OnCall(TimePoint now, Call& call) {
-  // A node that is new or was stopped does not know yet what crashes targets.
+  // A node that has just started or was paused has not yet received the
+  // quarantine records.
   if (!m_quarantine.IsCaughtUp())
     return RefuseCall(Reason::kConfigurationUnknown);
   switch (m_quarantine.Check(now, call.head.fingerprint)) {
@@ -57,13 +58,13 @@
     m_continuation.Resume(m_event_time, id, PassCall{});
     return;
   }
-  // The call has ended while it waited: nobody else would give the permit back
-  // before its term ends.
+  // The call ended while it waited: the permit must be released here, or it
+  // stays taken until it expires.
   m_quarantine.EndPermit(m_event_time, fingerprint, PermitEnd::kInconclusive);
 }
 
-// A convict is refused for minutes; a suspect may run as soon as the run that
-// holds the permit has ended.
+// A convicted request is refused for minutes; a suspect one may run as soon as
+// the current holder of the permit has ended.
 Reason QuarantineFilter::ReasonWithoutPermit(Fingerprint fingerprint) {
   return m_quarantine.Check(m_event_time, fingerprint) == Verdict::kQuarantined
              ? Reason::kQuarantined
--- a/source/core/pipeline/quarantine_filter.h
+++ b/source/core/pipeline/quarantine_filter.h
@@ -1,4 +1,5 @@
-// Keeps requests that crash their targets from taking down one after another.
+// Prevents a request that crashes targets from being sent to one target after
+// another.
 
 #ifndef BULRUSHMOUNT_CORE_PIPELINE_QUARANTINE_FILTER_H_
 #define BULRUSHMOUNT_CORE_PIPELINE_QUARANTINE_FILTER_H_
@@ -10,8 +11,8 @@
 
 class QuarantineFilter : public CallFilter {
  public:
-  // All must outlive the object. `event_time` is the time of the event that is
-  // being handled: a permit's callback carries none.
+  // All must outlive the object. `event_time` is the time of the event being
+  // handled, since the callback of a permit carries no time.
   QuarantineFilter(Quarantine& quarantine,
                    FilterContinuation& continuation,
                    const TimePoint& event_time)
--- a/source/core/pipeline/refusals.h
+++ b/source/core/pipeline/refusals.h
@@ -1,4 +1,4 @@
-// What an owner's refusal says of its service.
+// Classifies the reasons of owner refusals.
 
 #ifndef BULRUSHMOUNT_CORE_PIPELINE_REFUSALS_H_
 #define BULRUSHMOUNT_CORE_PIPELINE_REFUSALS_H_
@@ -7,10 +7,10 @@
 
 namespace bulrushmount {
 
-// The target had no room in time. Other refusals say nothing of the load: of a
-// target that leaves or is gone, or of one that sheds although its owner keeps
-// it from being full.
-inline bool SaysNoRoom(Reason reason) {
+// The target had no capacity in time. Other refusals say nothing about load:
+// the target is leaving or gone, or it sheds calls although its owner keeps it
+// below its limit.
+inline bool IsCapacityRefusal(Reason reason) {
   switch (reason) {
     case Reason::kOverloaded:
     case Reason::kSlowTarget:
--- a/source/core/pipeline/retry_after_policy.h
+++ b/source/core/pipeline/retry_after_policy.h
@@ -2,7 +2,8 @@
 //
 // Load pattern: interference or a burst fills all targets for some hundred
 // milliseconds, and all refused callers would retry together. So the earliest
-// retry is when capacity is likely, and retries are spread over as long again.
+// retry is at a time when capacity is likely to be free, and retries are spread
+// at random over an equally long period after it.
 
 #ifndef BULRUSHMOUNT_CORE_PIPELINE_RETRY_AFTER_POLICY_H_
 #define BULRUSHMOUNT_CORE_PIPELINE_RETRY_AFTER_POLICY_H_
@@ -16,28 +17,28 @@
 
 namespace bulrushmount {
 
-// The least time after which the cause of the refusal is likely over; empty
+// Minimum time after which the cause of the refusal has probably ended; empty
 // if the default of `TraitsOf(reason)` applies.
-inline std::optional<Duration> LeastRetryAfter(Reason reason) {
+inline std::optional<Duration> MinRetryAfter(Reason reason) {
   using std::chrono::milliseconds;
   switch (reason) {
-    // Half of a usual disturbance.
+    // Half the duration of typical interference.
     case Reason::kOverloaded:
     case Reason::kSlowTarget:
     case Reason::kShed:
     case Reason::kThrottled:
       return milliseconds(250);
-    // A target that was restarted reports within a second or two.
+    // A restarted target sends its first report within one or two seconds.
     case Reason::kNoTarget:
     case Reason::kConnectFailed:
     case Reason::kWrongTarget:
     case Reason::kNodeUnreachable:
       return milliseconds(500);
-    // Another node or target accepts it at once.
+    // Another node or target can accept the call at once.
     case Reason::kDraining:
     case Reason::kEvacuated:
       return milliseconds(50);
-    // A node reads its configuration within a second of its start.
+    // A node loads its configuration within a second of its start.
     case Reason::kConfigurationUnknown:
       return milliseconds(300);
     default:
@@ -47,7 +48,7 @@
 
 inline std::optional<Duration> DrawRetryAfter(Reason reason,
                                               RandomSource& random) {
-  const std::optional<Duration> least = LeastRetryAfter(reason);
+  const std::optional<Duration> least = MinRetryAfter(reason);
   if (!least)
     return std::nullopt;
   return FromSeconds(ToSeconds(*least) * (1.0 + random.Fraction()));
--- a/source/core/pipeline/retry_detector.cc
+++ b/source/core/pipeline/retry_detector.cc
@@ -1,4 +1,4 @@
-// Part of `retry_detector.h`.
+// Implements `retry_detector.h`.
 
 #include "core/pipeline/retry_detector.h"
 
@@ -9,23 +9,24 @@
 
 namespace {
 
-// The longest timeout is forgotten after one to two of these without it.
+// A longest timeout that does not recur expires after one to two windows.
 constexpr Duration kWindow = std::chrono::seconds(30);
 
 // A timeout may exceed the longest known one by this fraction before counting
-// restarts: it varies with transit time.
+// restarts, since transit times vary.
 constexpr double kScaleTolerance = 0.02;
 
-// Requests before a cluster counts, and after which counts are halved.
-constexpr std::uint32_t kLeastRequests = 32;
+// Minimum number of requests for an estimate, and the number at which counts
+// are halved.
+constexpr std::uint32_t kMinRequests = 32;
 constexpr std::uint32_t kHalveAt = 512;
 
-// A gap is a bin with less than this part of what the bins of the cluster hold
-// in the mean.
+// A gap is a bin that holds less than this fraction of the mean bin of the
+// cluster.
 constexpr double kGapFraction = 0.25;
-// The cluster's part of all: with two retries each, a third of all requests are
-// first tries even when every one is refused.
-constexpr double kLeastShareOfNew = 0.15;
+// Minimum share of requests in the cluster: with two retries each, a third of
+// all requests are first attempts even if every request is refused.
+constexpr double kMinFirstAttemptShare = 0.15;
 
 // Bounds memory.
 constexpr std::size_t kMaxKinds = 256;
@@ -39,20 +40,20 @@
   if (is_full || timeout <= Duration::zero())
     return Duration::zero();
   Kind& kind = m_kinds[name];
-  LearnLongest(now, timeout, kind);
+  UpdateLongest(now, timeout, kind);
   Count(timeout, kind);
-  const std::size_t first_of_new = FirstBinOfNew(kind);
-  const Duration least_of_new = kind.scale * first_of_new / kBins;
-  if (timeout >= least_of_new)
+  const std::size_t first_bin = FirstBinOfFirstAttempts(kind);
+  const Duration min_first_timeout = kind.scale * first_bin / kBins;
+  if (timeout >= min_first_timeout)
     return Duration::zero();
-  // First attempts are in the middle of the cluster on average.
-  return (least_of_new + kind.scale) / 2 - timeout;
+  // First attempts lie in the middle of the cluster on average.
+  return (min_first_timeout + kind.scale) / 2 - timeout;
 }
 
-void RetryDetector::LearnLongest(TimePoint now, Duration timeout, Kind& kind) {
+void RetryDetector::UpdateLongest(TimePoint now, Duration timeout, Kind& kind) {
   if (kind.total == 0 || now - kind.window_begun >= kWindow) {
     const bool is_next = now - kind.window_begun < 2 * kWindow;
-    kind.longest_before = is_next ? kind.longest : Duration::zero();
+    kind.previous_longest = is_next ? kind.longest : Duration::zero();
     kind.longest = Duration::zero();
     kind.window_begun = now;
   }
@@ -60,7 +61,7 @@
 }
 
 void RetryDetector::Count(Duration timeout, Kind& kind) {
-  const Duration longest = std::max(kind.longest, kind.longest_before);
+  const Duration longest = std::max(kind.longest, kind.previous_longest);
   const double ratio = kind.scale > Duration::zero()
                            ? ToSeconds(longest) / ToSeconds(kind.scale)
                            : 0.0;
@@ -80,8 +81,8 @@
       std::accumulate(kind.counts.begin(), kind.counts.end(), std::uint32_t{0});
 }
 
-std::size_t RetryDetector::FirstBinOfNew(const Kind& kind) {
-  if (kind.total < kLeastRequests)
+std::size_t RetryDetector::FirstBinOfFirstAttempts(const Kind& kind) {
+  if (kind.total < kMinRequests)
     return 0;
   double in_cluster = 0;
   std::size_t first = kBins;
@@ -93,7 +94,7 @@
     in_cluster += count;
     --first;
   }
-  return in_cluster >= kLeastShareOfNew * kind.total ? first : 0;
+  return in_cluster >= kMinFirstAttemptShare * kind.total ? first : 0;
 }
 
 }  // namespace bulrushmount
--- a/source/core/pipeline/retry_detector.h
+++ b/source/core/pipeline/retry_detector.h
@@ -1,11 +1,11 @@
 // Estimates how long a caller has been trying when its request arrives.
 //
 // Load pattern: refused callers retry during an overload. Their latency
-// objective counts from the first attempt, so if they are treated as new
-// requests they take slots and are late all the same. A caller's remaining
-// timeout shrinks with each retry: first attempts of a kind cluster at the
-// longest timeout, and values below the gap under that cluster are retries.
-// Without a gap no request counts as a retry.
+// objective counts from the first attempt, so if retries are treated as new
+// requests, they occupy slots and are answered too late anyway. A caller's
+// remaining timeout shrinks with each retry: the first attempts of a kind
+// cluster at the longest timeout, and values below the gap under that cluster
+// are retries. Without a gap no request counts as a retry.
 
 #ifndef BULRUSHMOUNT_CORE_PIPELINE_RETRY_DETECTOR_H_
 #define BULRUSHMOUNT_CORE_PIPELINE_RETRY_DETECTOR_H_
@@ -33,21 +33,22 @@
 
   // Remaining timeouts of one kind's requests.
   struct Kind {
-    // The longest of the running window and of the one before it.
+    // Longest timeout of the current window and of the previous one.
     Duration longest{};
-    Duration longest_before{};
+    Duration previous_longest{};
     TimePoint window_begun;
     // Histogram of recent timeouts in equal parts of `scale`, shortest first.
     std::array<std::uint32_t, kBins> counts{};
     std::uint32_t total = 0;
-    // The longest when counting began.
+    // Longest timeout when counting began.
     Duration scale{};
   };
 
-  static void LearnLongest(TimePoint now, Duration timeout, Kind& kind);
+  static void UpdateLongest(TimePoint now, Duration timeout, Kind& kind);
   static void Count(Duration timeout, Kind& kind);
-  // The lowest bin of the cluster at the longest time; 0 if no gap is below.
-  static std::size_t FirstBinOfNew(const Kind& kind);
+  // The lowest bin of the cluster at the longest timeout; 0 if there is no gap
+  // below it.
+  static std::size_t FirstBinOfFirstAttempts(const Kind& kind);
 
   std::unordered_map<KindName, Kind> m_kinds;
 };
--- a/source/core/pipeline/route_filter.cc
+++ b/source/core/pipeline/route_filter.cc
@@ -1,4 +1,4 @@
-// Part of `route_filter.h`.
+// Implements `route_filter.h`.
 
 #include "core/pipeline/route_filter.h"
 
@@ -24,11 +24,11 @@
   kind.objective.within = route.latency_objective;
   call.terms.priority = route.priority;
   call.terms.max_hand_overs = route.max_attempts;
-  // The caller may only shorten what the operator grants.
+  // The caller may shorten the timeout of the route but not extend it.
   call.deadline =
       now + std::min(call.head.deadline.value_or(route.timeout), route.timeout);
   m_pipeline.ArmDeadline(call);
-  if (m_tells_returns && call.head.deadline)
+  if (m_detects_retries && call.head.deadline)
     call.waited_before =
         m_retry_detector.EstimateElapsed(now, route.name, *call.head.deadline);
   return PassCall{};
--- a/source/core/pipeline/route_filter.h
+++ b/source/core/pipeline/route_filter.h
@@ -1,5 +1,5 @@
-// Finds the route of a call in the operator's routing document, and what it
-// says of the call.
+// Matches a call to a route of the operator's routing document and applies its
+// settings.
 
 #ifndef BULRUSHMOUNT_CORE_PIPELINE_ROUTE_FILTER_H_
 #define BULRUSHMOUNT_CORE_PIPELINE_ROUTE_FILTER_H_
@@ -13,21 +13,21 @@
 
 class RouteFilter : public CallFilter {
  public:
-  // Both must outlive the object. `tells_returns`: callers that have come back
-  // are told from new ones.
-  RouteFilter(RouteTable& routes, CallPipeline& pipeline, bool tells_returns)
+  // Both must outlive the object. `detects_retries`: the elapsed time of
+  // retries is estimated; see RetryDetector.
+  RouteFilter(RouteTable& routes, CallPipeline& pipeline, bool detects_retries)
       : m_routes(routes),
         m_pipeline(pipeline),
-        m_tells_returns(tells_returns) {}
+        m_detects_retries(detects_retries) {}
 
-  // A node that knows no document yet refuses for now; only one that does may
-  // say that there is no such route.
+  // Without a routing document the call is refused as temporarily unavailable;
+  // only a node that has one may report that no route matches.
   FilterVerdict OnCall(TimePoint now, Call& call) override;
 
  private:
   RouteTable& m_routes;
   CallPipeline& m_pipeline;
-  bool m_tells_returns;
+  bool m_detects_retries;
   RetryDetector m_retry_detector;
 };
 
--- a/source/core/pipeline/slowdown_threshold.h
+++ b/source/core/pipeline/slowdown_threshold.h
@@ -1,10 +1,11 @@
 // Tracks, per service, the largest slowdown at which an entry still accepts an
 // owner's offer.
 //
-// Load pattern: after a synchronized restart, or at a load that crowds all
-// targets, no owner offers a fast start, and each call would ask several owners
-// before it takes the least slow offer. So a slowdown that calls accepted
-// moments ago is accepted at once, and so is one close to the best reported.
+// Load pattern: after a synchronized restart, or at a load that fills all
+// targets, no owner offers a fast start, and each call would try several owners
+// before it takes the offer with the smallest slowdown. So a slowdown that
+// calls accepted recently is accepted at once, and so is one close to the
+// smallest reported.
 
 #ifndef BULRUSHMOUNT_CORE_PIPELINE_SLOWDOWN_THRESHOLD_H_
 #define BULRUSHMOUNT_CORE_PIPELINE_SLOWDOWN_THRESHOLD_H_
@@ -38,7 +39,8 @@
     known.reports[owner] = {slowdown, now};
   }
 
-  // `enough`: owners whose reports make the best of them representative.
+  // `enough`: number of reporting owners from which the smallest reported
+  // slowdown is representative.
   double Acceptable(TimePoint now,
                     const ServiceName& service,
                     std::size_t enough) const {
@@ -49,7 +51,7 @@
     const Report& taken = found->second.taken;
     if (now - taken.at < kAcceptedOfferTtl)
       acceptable = std::max(acceptable, taken.slowdown);
-    return std::max(acceptable, HardlyWorse(now, found->second, enough));
+    return std::max(acceptable, NearBestSlowdown(now, found->second, enough));
   }
 
  private:
@@ -57,9 +59,9 @@
   static constexpr Duration kAcceptedOfferTtl = std::chrono::milliseconds(100);
   // About as long as interference lasts.
   static constexpr Duration kReportTtl = std::chrono::milliseconds(300);
-  // A tenth more costs less than another round trip does.
-  static constexpr double kHardlyWorse = 1.1;
-  // Bounds memory; above the owners of any service.
+  // A start that is slower by a tenth costs less than another round trip.
+  static constexpr double kNearBestFactor = 1.1;
+  // Bounds memory; larger than the number of owners of any service.
   static constexpr std::size_t kMaxOwners = 4096;
 
   struct Report {
@@ -72,10 +74,11 @@
     std::unordered_map<NodeId, Report> reports;
   };
 
-  // 0 while too few reports are fresh.
-  static double HardlyWorse(TimePoint now,
-                            const Service& service,
-                            std::size_t enough) {
+  // The largest slowdown that is close to the smallest reported; 0 while too
+  // few reports are fresh.
+  static double NearBestSlowdown(TimePoint now,
+                                 const Service& service,
+                                 std::size_t enough) {
     std::size_t fresh = 0;
     double best = std::numeric_limits<double>::infinity();
     for (const auto& [owner, report] : service.reports) {
@@ -84,7 +87,7 @@
       ++fresh;
       best = std::min(best, report.slowdown);
     }
-    return fresh > 0 && fresh >= enough ? kHardlyWorse * best : 0.0;
+    return fresh > 0 && fresh >= enough ? kNearBestFactor * best : 0.0;
   }
 
   std::unordered_map<ServiceName, Service> m_services;
--- a/source/core/pipeline/throttle_filter.cc
+++ b/source/core/pipeline/throttle_filter.cc
@@ -1,4 +1,4 @@
-// Part of `throttle_filter.h`.
+// Implements `throttle_filter.h`.
 
 #include "core/pipeline/throttle_filter.h"
 
@@ -14,7 +14,7 @@
 
 bool IsRefusedByOwners(const Call& call, const CallEnd& end) {
   return end.outcome == Outcome::kNotRun && call.attempts_made > 0 &&
-         SaysNoRoom(end.reason);
+         IsCapacityRefusal(end.reason);
 }
 
 bool HasRoom(const LoadReport& load) {
--- a/source/core/pipeline/throttle_filter.h
+++ b/source/core/pipeline/throttle_filter.h
@@ -1,5 +1,5 @@
-// Refuses calls of the target beside at their entry where the called service
-// would refuse them; see adaptive_throttle.h.
+// Refuses nested calls of the local target at the entry if the called service
+// would probably refuse them; see adaptive_throttle.h.
 
 #ifndef BULRUSHMOUNT_CORE_PIPELINE_THROTTLE_FILTER_H_
 #define BULRUSHMOUNT_CORE_PIPELINE_THROTTLE_FILTER_H_
@@ -16,7 +16,7 @@
   // `random` must outlive the object.
   explicit ThrottleFilter(RandomSource& random) : m_random(random) {}
 
-  // The target beside answered a request with an error.
+  // The local target answered a request with an error.
   void OnTargetError(TimePoint now) { m_nested.OnTargetError(now); }
 
   FilterVerdict OnCall(TimePoint now, Call& call) override;
--- a/source/unit_tests/core/pipeline/adaptive_throttle_test.cc
+++ b/source/unit_tests/core/pipeline/adaptive_throttle_test.cc
@@ -1,5 +1,4 @@
-// Which calls an entry refuses unsent, against services that run so many calls
-// a second.
+// Tests which calls an entry throttles for services of a given capacity.
 
 #include "core/pipeline/adaptive_throttle.h"
 
@@ -21,15 +20,15 @@
 const CallClass kLookups{ServiceName("vault"), KindName("lookup")};
 const CallClass kDownloads{ServiceName("vault"), KindName("download")};
 
-// A service that runs a call for each `period`, keeps a few waiting, and
-// refuses all others at once.
+// A service that completes one call per `period`, queues a few and refuses all
+// others at once.
 class ThrottledService {
  public:
   explicit ThrottledService(Duration period) : m_period(period) {}
 
   void SetPeriod(Duration period) { m_period = period; }
 
-  // Calls come one for each `gap`.
+  // One call arrives per `gap`.
   void Play(Duration length, Duration gap) {
     m_sent = 0;
     m_answered = 0;
@@ -79,10 +78,10 @@
   EXPECT_EQ(service.sent_share(), 1.0);
 }
 
-// Symptom: of a service that can run half of what comes less than half is
-// answered. Sequence: each call that it can't run asks all its owners. Cause:
-// entries forgot at each call what the last ones had met.
-TEST(AdaptiveThrottleTest, SendsHardlyMoreThanAServiceCanRun) {
+// Failure: a service that can run half of the offered calls answers fewer than
+// that. Every call beyond its capacity is tried at all its owners, because
+// entries do not take the results of earlier calls into account.
+TEST(AdaptiveThrottleTest, SendsSlightlyMoreThanAServiceCanRun) {
   ThrottledService service(20ms);
   service.Play(2s, 10ms);
   service.Play(10s, 10ms);
@@ -90,7 +89,7 @@
   EXPECT_LE(service.refused(), 0.2 * service.sent());
 }
 
-// A burst is over within seconds; what it left behind must be sooner.
+// A burst is over within seconds; throttling must end sooner than that.
 TEST(AdaptiveThrottleTest, SendsAllAgainSoonAfterTheServiceHasRoom) {
   ThrottledService service(100ms);
   service.Play(5s, 10ms);
@@ -101,7 +100,7 @@
   EXPECT_EQ(service.sent_share(), 1.0);
 }
 
-TEST(AdaptiveThrottleTest, GoesOnAskingAServiceThatAnswersNothing) {
+TEST(AdaptiveThrottleTest, KeepsProbingAServiceThatAnswersNothing) {
   ThrottledService service(1h);
   service.Play(5s, 10ms);
   service.Play(5s, 10ms);
@@ -109,13 +108,13 @@
   EXPECT_LE(service.sent_share(), 0.3);
 }
 
-TEST(AdaptiveThrottleTest, TooFewCallsSayNothing) {
+TEST(AdaptiveThrottleTest, DoesNotThrottleAFewCalls) {
   ThrottledService service(1h);
   service.Play(30s, 200ms);
   EXPECT_EQ(service.sent_share(), 1.0);
 }
 
-TEST(AdaptiveThrottleTest, KindsAreToldApart) {
+TEST(AdaptiveThrottleTest, TracksKindsSeparately) {
   AdaptiveThrottle throttle;
   const TimePoint now{1h};
   for (int call = 0; call < 100; ++call)
@@ -124,10 +123,10 @@
   EXPECT_EQ(throttle.RefusedShare(now, kDownloads), 0.0);
 }
 
-// Symptom: a service answers as much as it can, and hardly any request that
-// makes two calls to it succeeds. Sequence: one call of a request is answered,
-// the other refused. Cause: each was decided on by itself.
-TEST(AdaptiveThrottleTest, CallsOfOneMomentShareAVerdict) {
+// Failure: a service runs at full capacity, but hardly any request that makes
+// two calls to it succeeds. One of the calls is answered and the other refused,
+// because each is decided on separately.
+TEST(AdaptiveThrottleTest, ConcurrentCallsShareADecision) {
   AdaptiveThrottle throttle;
   SeededRandomSource random(7);
   TimePoint now{1h};
--- a/source/unit_tests/core/pipeline/ask_budget_test.cc
+++ b/source/unit_tests/core/pipeline/ask_budget_test.cc
@@ -1,4 +1,5 @@
-// How many owners an entry asks for a call, by how often they refused of late.
+// Tests how many owners an entry tries for a call, depending on recent
+// refusals.
 
 #include "core/pipeline/ask_budget.h"
 
@@ -29,7 +30,7 @@
 
 class AskBudgetTest : public testing::TestWithParam<AskCase> {};
 
-TEST_P(AskBudgetTest, BoundsQuestionsWhereMostAreRefused) {
+TEST_P(AskBudgetTest, LimitsAttemptsWhenMostAreRefused) {
   AskBudget budget;
   budget.SetFleetSize(kNodes);
   const TimePoint now{1h};
@@ -37,9 +38,9 @@
     budget.OnCall(now, kService);
   for (int refusal = 0; refusal < GetParam().refusals; ++refusal)
     budget.OnRefused(now, kService);
-  EXPECT_EQ(
-      budget.MayAskMore(now + GetParam().age, kService, GetParam().owners),
-      GetParam().may_ask_more);
+  EXPECT_EQ(budget.MayTryAnotherOwner(now + GetParam().age, kService,
+                                      GetParam().owners),
+            GetParam().may_ask_more);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -51,7 +52,8 @@
                     AskCase{"AllFull", 12, 100, 300, 0ms, false},
                     AskCase{"FullAMomentAgo", 12, 100, 300, 100ms, false},
                     AskCase{"FullLongAgo", 12, 100, 300, 5s, true},
-                    // Many owners for each entry bear what few can't.
+                    // The same refusals are allowed if there are many owners
+                    // per entry.
                     AskCase{"FewCallsToManyOwners", 60, 10, 15, 0ms, true},
                     AskCase{"FewCallsToFewOwners", 12, 10, 15, 0ms, false}),
     [](const auto& info) { return std::string(info.param.name); });
--- a/source/unit_tests/core/pipeline/dispatcher_test.cc
+++ b/source/unit_tests/core/pipeline/dispatcher_test.cc
@@ -1,5 +1,5 @@
-// Where an entry sends a call, and when it turns elsewhere: decisions with
-// scripted owners and without any node or connection.
+// Tests to which owners an entry sends a call and when it tries another one,
+// with scripted owners and without nodes or connections.
 
 #include "core/pipeline/dispatcher.h"
 
@@ -58,7 +58,7 @@
     actions.push_back(std::move(action));
   }
 
-  // The newest of its kind; null if there is none.
+  // The most recent action of this type; null if there is none.
   template <typename Action>
   const Action* Last() const {
     const Action* last = nullptr;
@@ -114,7 +114,7 @@
     return settings;
   }
 
-  // A call that may take 300 ms for its full credit and 2 s in all.
+  // Starts a call with a latency objective of 300 ms and a deadline of 2 s.
   CallId Start(bool is_repeatable) {
     m_is_repeatable = is_repeatable;
     const CallId call(++m_last_call);
@@ -128,7 +128,7 @@
     return *m_actions.Last<DispatchAttempt>();
   }
 
-  // The owner asked last answers after `time` with so many bytes.
+  // The most recent owner answers after `time` with `bytes` bytes.
   void Answer(Duration time, std::uint64_t bytes) {
     const DispatchAttempt attempt = LastAttempt();
     const LoadReport load{.limit = 12, .service_time = 70ms};
@@ -172,11 +172,10 @@
   bool m_is_repeatable = true;
 };
 
-// Symptom: for seconds after a node has lost power each call that was sent to
-// it ends at its deadline, unknown. Sequence: the connection stays open in
-// silence. Cause: an attempt was waited for until its connection was given up,
-// and that took longer than any caller waits.
-TEST_F(DispatcherTest, WhatMayBeRepeatedLeavesASilentNode) {
+// Failure: after a node loses power, every call sent to it ends at its deadline
+// with an unknown outcome. The connection stays open without data, and the
+// attempt waits for the connection timeout, which is longer than any deadline.
+TEST_F(DispatcherTest, RetriesARepeatableCallElsewhereIfTheOwnerIsSilent) {
   const CallId call = Start(true);
   const DispatchAttempt first = LastAttempt();
   m_now += 500ms;
@@ -189,8 +188,8 @@
   EXPECT_EQ(m_end->outcome, Outcome::kAnswered);
 }
 
-// The node may have handed it over, and may be back with its answer.
-TEST_F(DispatcherTest, WhatMayNotBeRepeatedWaitsForASilentNode) {
+// The owner may have handed the call to its target and may still answer.
+TEST_F(DispatcherTest, KeepsANonRepeatableCallAtASilentOwner) {
   const CallId call = Start(false);
   m_now += 500ms;
   m_dispatcher.OnSilent(m_now, {call, LastAttempt().attempt});
@@ -201,8 +200,8 @@
   EXPECT_EQ(m_end->outcome, Outcome::kAnswered);
 }
 
-// Calls that come meanwhile go elsewhere.
-TEST_F(DispatcherTest, ASilentNodeIsPickedLess) {
+// Later calls go to other owners.
+TEST_F(DispatcherTest, PicksASilentOwnerLess) {
   const CallId call = Start(false);
   const NodeId silent = LastAttempt().owner;
   m_dispatcher.OnSilent(m_now, {call, LastAttempt().attempt});
@@ -212,19 +211,19 @@
   }
 }
 
-// Symptom: callers of a service with one target are refused after waits of
-// milliseconds, with seconds left, whenever a few more of them call than it has
-// slots. Sequence: one call. Cause: its only attempt left it open to turn
-// elsewhere, so the owner held it for as short as one that has others to ask.
-TEST_F(DispatcherTest, WhoHasNobodyElseToAskSaysSo) {
+// Failure: a service with one target refuses calls after a few milliseconds,
+// with seconds left, whenever slightly more calls arrive than it has slots. The
+// only attempt is not marked as the last one, so the owner holds the call only
+// as briefly as one that can be tried elsewhere.
+TEST_F(DispatcherTest, MarksTheAttemptAtTheOnlyOwnerAsLast) {
   for (std::uint64_t node = 2; node <= kOwners; ++node)
     m_router.Remove(NodeId(node));
   Start(true);
   EXPECT_TRUE(LastAttempt().head.is_last_attempt);
 }
 
-// The same with several targets, once all others are full.
-TEST_F(DispatcherTest, TheLastToBeAskedHearsThatItIs) {
+// The same for several targets, once all others are full.
+TEST_F(DispatcherTest, MarksTheAttemptAtTheLastOwnerAsLast) {
   const CallId call = Start(true);
   for (std::uint64_t owner = 1; owner < kOwners; ++owner) {
     EXPECT_FALSE(LastAttempt().head.is_last_attempt);
@@ -235,10 +234,10 @@
   EXPECT_TRUE(LastAttempt().head.is_last_attempt);
 }
 
-// Owners have refused more than they may: a call asks one.
-class BoundedQuestionsTest : public DispatcherTest {
+// The ask budget is spent, so a call tries only one owner.
+class SpentAskBudgetTest : public DispatcherTest {
  protected:
-  BoundedQuestionsTest() {
+  SpentAskBudgetTest() {
     const TimePoint end = m_now + 400ms;
     while (m_now < end) {
       m_end.reset();
@@ -257,7 +256,7 @@
   }
 };
 
-TEST_F(BoundedQuestionsTest, ACallAsksOneOwnerAndTellsIt) {
+TEST_F(SpentAskBudgetTest, TriesOneOwnerAndMarksTheAttemptAsLast) {
   const CallId call = Start(true);
   EXPECT_TRUE(LastAttempt().head.is_last_attempt);
   Refuse(call, Reason::kOverloaded);
@@ -266,11 +265,10 @@
   EXPECT_EQ(m_actions.Count<DispatchAttempt>(), 1U);
 }
 
-// Symptom: while a service is short of targets, callers are refused because one
-// of its owners leaves. Sequence: the one owner that a call may ask refuses it
-// as draining. Cause: any refusal ended the call, although another owner may
-// well have taken it.
-TEST_F(BoundedQuestionsTest, ALeavingOwnerIsNotTheEndOfACall) {
+// Failure: while a service lacks targets, callers are refused because one of
+// its owners is leaving. The only owner that a call may try refuses it as
+// draining, and any refusal ends the call although another owner may accept it.
+TEST_F(SpentAskBudgetTest, TriesAnotherOwnerIfTheFirstIsDraining) {
   const CallId call = Start(true);
   const NodeId leaving = LastAttempt().owner;
   Refuse(call, Reason::kDraining);
@@ -281,7 +279,7 @@
   EXPECT_EQ(m_end->outcome, Outcome::kAnswered);
 }
 
-TEST_F(BoundedQuestionsTest, AnOwnerThatIsGoneIsNotTheEndOfACall) {
+TEST_F(SpentAskBudgetTest, TriesAnotherOwnerIfTheFirstIsUnreachable) {
   const CallId call = Start(true);
   const NodeId gone = LastAttempt().owner;
   m_dispatcher.OnLost(
@@ -297,13 +295,13 @@
   Duration most;
 };
 
-class NearHoldTest : public DispatcherTest,
-                     public testing::WithParamInterface<HoldCase> {};
+class SameZoneHoldTest : public DispatcherTest,
+                         public testing::WithParamInterface<HoldCase> {};
 
-// The near owner may keep a request for a better start as long as its answer's
-// bytes from elsewhere are worth, and never so long that an attempt elsewhere
-// would be late.
-TEST_P(NearHoldTest, IsBoundByTheBytesAndByTheTimeLeft) {
+// The owner in the same zone may hold a request as long as the transfer of its
+// answer from another zone would cost, but not so long that an attempt there
+// would miss the objective.
+TEST_P(SameZoneHoldTest, IsLimitedByAnswerSizeAndRemainingTime) {
   for (int answer = 0; answer < 40; ++answer) {
     Start(true);
     Answer(75ms, GetParam().bytes);
@@ -321,10 +319,10 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Answers,
-    NearHoldTest,
+    SameZoneHoldTest,
     testing::Values(HoldCase{"Small", 1'500, 0ms, 0ms},
                     HoldCase{"Medium", 30'000, 55ms, 65ms},
-                    // 300 ms less what an attempt elsewhere takes.
+                    // 300 ms minus the time of an attempt in another zone.
                     HoldCase{"Large", 500'000, 150ms, 200ms}),
     [](const auto& info) { return std::string(info.param.name); });
 
--- a/source/unit_tests/core/pipeline/nested_calls_test.cc
+++ b/source/unit_tests/core/pipeline/nested_calls_test.cc
@@ -1,4 +1,4 @@
-// Which calls a node takes for those of the target beside it.
+// Tests which calls a node classifies as nested calls of its local target.
 
 #include "core/pipeline/nested_calls.h"
 
@@ -18,14 +18,15 @@
 struct NestedCase {
   const char* name;
   int failures;
-  // From each failure to the error of the target after it; 0: none follows.
+  // Time from each failure to the error of the target after it; 0: none
+  // follows.
   Duration error_after;
   bool is_nested;
 };
 
 class NestedCallsTest : public testing::TestWithParam<NestedCase> {};
 
-TEST_P(NestedCallsTest, AreKnownByTheErrorsThatFollow) {
+TEST_P(NestedCallsTest, AreDetectedByTheErrorsThatFollow) {
   NestedCalls calls;
   TimePoint now{1h};
   for (int failure = 0; failure < GetParam().failures; ++failure) {
@@ -47,8 +48,8 @@
                     NestedCase{"ErrorsFollowLater", 100, 60ms, false}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// Two calls of one request fail together, and one error follows.
-TEST(NestedCallsTogetherTest, OneErrorSpeaksOfAllCallsOfItsRequest) {
+// Two calls of one request fail together and cause a single error.
+TEST(NestedCallsTogetherTest, OneErrorCountsForAllCallsOfItsRequest) {
   NestedCalls calls;
   TimePoint now{1h};
   for (int request = 0; request < 5; ++request, now += 100ms) {
@@ -59,8 +60,8 @@
   EXPECT_TRUE(calls.IsNested(kLookups));
 }
 
-// The target has been replaced by one that makes no such calls.
-TEST(NestedCallsTogetherTest, ForgetsWhatIsNoLongerSo) {
+// The target is replaced by one that makes no such calls.
+TEST(NestedCallsTogetherTest, UnlearnsCallsThatAreNoLongerNested) {
   NestedCalls calls;
   TimePoint now{1h};
   for (int failure = 0; failure < 10; ++failure, now += 100ms) {
--- a/source/unit_tests/core/pipeline/retry_detector_test.cc
+++ b/source/unit_tests/core/pipeline/retry_detector_test.cc
@@ -28,14 +28,14 @@
 class RetryDetectorTest : public testing::TestWithParam<RetryCase> {};
 
 TEST_P(RetryDetectorTest, DetectsRetries) {
-  RetryDetector patience;
+  RetryDetector detector;
   TimePoint now(100s);
   for (std::size_t index = 0; index < 100; ++index) {
-    patience.EstimateElapsed(
+    detector.EstimateElapsed(
         now, kKind, GetParam().timeouts[index % GetParam().timeouts.size()]);
     now += 10ms;
   }
-  const Duration waited = patience.EstimateElapsed(now, kKind, GetParam().last);
+  const Duration waited = detector.EstimateElapsed(now, kKind, GetParam().last);
   EXPECT_GE(waited, GetParam().least);
   EXPECT_LE(waited, GetParam().most);
 }
@@ -45,21 +45,22 @@
     RetryDetectorTest,
     testing::Values(RetryCase{"New", {2000ms}, 2000ms, 0ms, 0ms},
                     RetryCase{"Back", {2000ms}, 1600ms, 350ms, 400ms},
-                    // First tries differ by some part.
+                    // Timeouts of first attempts vary.
                     RetryCase{"NewOfMany",
                               {1990ms, 1720ms, 1810ms, 1900ms, 1760ms, 1960ms,
                                1860ms},
                               1730ms,
                               0ms,
                               0ms},
-                    // Two in three come back, at any time.
+                    // Two in three requests are retries, with any remaining
+                    // timeout.
                     RetryCase{"Overload",
                               {1990ms, 1400ms, 700ms, 1720ms, 1200ms, 900ms,
                                1810ms, 1100ms, 500ms, 1900ms, 1300ms, 600ms},
                               1300ms,
                               500ms,
                               650ms},
-                    // No time stands out: who comes back is not to be seen.
+                    // No timeout stands out, so retries cannot be detected.
                     RetryCase{"Even",
                               {250ms, 238ms, 225ms, 213ms, 200ms, 188ms, 175ms,
                                163ms, 150ms, 138ms, 125ms, 113ms, 100ms, 88ms,
@@ -69,31 +70,31 @@
                               0ms}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(RetryDetectorLifeTest, TooFewRequestsSayNothing) {
-  RetryDetector patience;
-  EXPECT_EQ(patience.EstimateElapsed(TimePoint(1s), kKind, 2000ms), 0ms);
-  EXPECT_EQ(patience.EstimateElapsed(TimePoint(1s), kKind, 1500ms), 0ms);
+TEST(RetryDetectorHistoryTest, DetectsNothingFromTooFewRequests) {
+  RetryDetector detector;
+  EXPECT_EQ(detector.EstimateElapsed(TimePoint(1s), kKind, 2000ms), 0ms);
+  EXPECT_EQ(detector.EstimateElapsed(TimePoint(1s), kKind, 1500ms), 0ms);
 }
 
-TEST(RetryDetectorLifeTest, KindsAreApart) {
-  RetryDetector patience;
+TEST(RetryDetectorHistoryTest, TracksKindsSeparately) {
+  RetryDetector detector;
   for (int request = 0; request < 50; ++request)
-    patience.EstimateElapsed(TimePoint(1s), kKind, 2000ms);
-  EXPECT_EQ(patience.EstimateElapsed(TimePoint(1s), KindName("book"), 500ms),
+    detector.EstimateElapsed(TimePoint(1s), kKind, 2000ms);
+  EXPECT_EQ(detector.EstimateElapsed(TimePoint(1s), KindName("book"), 500ms),
             0ms);
 }
 
-// Symptom: all callers of a kind count as retries permanently.
-// Sequence: the callers' software is replaced by one that waits less.
-// Cause: the longest time of the old one was kept.
-TEST(RetryDetectorLifeTest, ALongestTimeThatIsSaidNoMoreIsForgotten) {
-  RetryDetector patience;
+// Failure: all requests of a kind count as retries permanently after the
+// callers are replaced by ones with a shorter timeout, because the longest
+// timeout never expires.
+TEST(RetryDetectorHistoryTest, ExpiresTheLongestTimeout) {
+  RetryDetector detector;
   TimePoint now(1s);
   for (; now < TimePoint(2s); now += 10ms)
-    patience.EstimateElapsed(now, kKind, 2000ms);
+    detector.EstimateElapsed(now, kKind, 2000ms);
   Duration waited{};
   for (; now < TimePoint(70s); now += 10ms)
-    waited = patience.EstimateElapsed(now, kKind, 1000ms);
+    waited = detector.EstimateElapsed(now, kKind, 1000ms);
   EXPECT_EQ(waited, 0ms);
 }
 
--- a/source/unit_tests/core/pipeline/slowdown_threshold_test.cc
+++ b/source/unit_tests/core/pipeline/slowdown_threshold_test.cc
@@ -1,4 +1,4 @@
-// How slow a start an entry accepts, by what owners told of late.
+// Tests which slowdown an entry accepts, depending on recent reports of owners.
 
 #include "core/pipeline/slowdown_threshold.h"
 
@@ -19,8 +19,8 @@
 
 struct ThresholdCase {
   const char* name;
-  // Told by owners 1, 2, ... of a service of four.
-  std::vector<double> told;
+  // Slowdowns reported by owners 1, 2, ... of a service with four owners.
+  std::vector<double> reported_slowdowns;
   Duration age;
   double least;
   double most;
@@ -28,15 +28,15 @@
 
 class SlowdownThresholdTest : public testing::TestWithParam<ThresholdCase> {};
 
-// Symptom: after a restart of all each call asks four owners in vain before it
-// is started. Sequence: all targets are cold and tell twice their usual time;
-// an entry accepts half of that more. Cause: what was accepted was measured by
-// a warm target, and not by the best there is.
-TEST_P(SlowdownThresholdTest, AcceptsWhatIsHardlyWorseThanTheBest) {
+// Failure: after a restart of all targets each call tries four owners in vain
+// before it starts. All targets are cold and report twice their usual time, but
+// the entry accepts only 1.5 times that of a warm target instead of comparing
+// with the best report.
+TEST_P(SlowdownThresholdTest, AcceptsNearBestSlowdown) {
   SlowdownThreshold threshold;
   const TimePoint reported_at(10s);
   std::uint64_t owner = 0;
-  for (const double slowdown : GetParam().told)
+  for (const double slowdown : GetParam().reported_slowdowns)
     threshold.OnReported(reported_at, kService, NodeId(++owner), slowdown);
   const double acceptable =
       threshold.Acceptable(reported_at + GetParam().age, kService, kEnough);
@@ -50,15 +50,15 @@
     testing::Values(
         ThresholdCase{"Nothing", {}, 0ms, 1.5, 1.5},
         ThresholdCase{"AllCold", {2, 2, 2, 2}, 10ms, 2, 2.3},
-        // A disturbed target is not worth a start while another is free.
+        // A slow target is not accepted while another one is free.
         ThresholdCase{"OneDisturbed", {4, 1, 1, 1}, 10ms, 1.5, 1.5},
         ThresholdCase{"OneUndisturbed", {4, 4, 4, 1}, 10ms, 1.5, 1.5},
-        // The one that was not heard may be better than all others.
+        // The owner without a report may be faster than all others.
         ThresholdCase{"TooFewWords", {4, 4, 4}, 10ms, 1.5, 1.5},
         ThresholdCase{"WordsOfLongAgo", {2, 2, 2, 2}, 400ms, 1.5, 1.5}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(SlowdownThresholdTakenTest, WhatWasTakenIsAcceptedForAMoment) {
+TEST(SlowdownThresholdTakenTest, AcceptsATakenOfferBriefly) {
   SlowdownThreshold threshold;
   threshold.OnTaken(TimePoint(10s), kService, 3.0);
   EXPECT_EQ(threshold.Acceptable(TimePoint(10s) + 50ms, kService, kEnough),
