--- a/source/core/node_logic/announcement_watch.h
+++ b/source/core/node_logic/announcement_watch.h
@@ -1,5 +1,6 @@
-// Whether a target that announces itself again and again has stopped to. One
-// that announces itself once only has no period, and is never missed.
+// Detects missing announcements of a target that announces itself periodically.
+// A target that announces itself only once has no period and never counts as
+// missing.
 
 #ifndef BULRUSHMOUNT_CORE_NODE_LOGIC_ANNOUNCEMENT_WATCH_H_
 #define BULRUSHMOUNT_CORE_NODE_LOGIC_ANNOUNCEMENT_WATCH_H_
@@ -13,34 +14,38 @@
 
 class AnnouncementWatch {
  public:
-  // `is_same`: of the same start of the target as the one before.
+  // `is_same`: the announcement is from the same process start as the previous
+  // one.
   void OnAnnounced(TimePoint now, bool is_same) {
     const Duration since = now - m_last;
     if (!is_same)
       m_period.reset();
-    else if (since >= kShortestPeriod)
+    else if (since >= kMinPeriod)
       m_period = since;
     m_last = now;
   }
 
-  // Whether one more is missing at `now`; to be asked until it says no.
-  bool TakeMissed(TimePoint now) {
+  // Whether an announcement is missing at `now`; call repeatedly until it
+  // returns false.
+  bool ConsumeMissed(TimePoint now) {
     if (now < NextCheck())
       return false;
     m_last += *m_period;
     return true;
   }
 
-  // When the next one counts as missing; max without a period.
+  // Time at which the next announcement counts as missing; max without a
+  // period.
   TimePoint NextCheck() const {
     return m_period ? m_last + 2 * *m_period : TimePoint::max();
   }
 
  private:
-  // Announcements closer together than this are one burst, not a period.
-  static constexpr Duration kShortestPeriod = std::chrono::milliseconds(100);
+  // Announcements at shorter intervals belong to one burst and define no
+  // period.
+  static constexpr Duration kMinPeriod = std::chrono::milliseconds(100);
 
-  // When the last one came, or should have.
+  // Time of the last announcement, received or missed.
   TimePoint m_last;
   std::optional<Duration> m_period;
 };
--- a/source/core/node_logic/call_types.h
+++ b/source/core/node_logic/call_types.h
@@ -1,5 +1,5 @@
-// The heads and reports that cross the node_logic facade: what a decision needs
-// to know of a call. Bodies never come here.
+// Request heads and load reports exchanged through NodeLogic: the data that
+// decisions need. Bodies are not included.
 
 #ifndef BULRUSHMOUNT_CORE_NODE_LOGIC_CALL_TYPES_H_
 #define BULRUSHMOUNT_CORE_NODE_LOGIC_CALL_TYPES_H_
@@ -14,22 +14,22 @@
 
 namespace bulrushmount {
 
-// A caller's request as the entry sees it.
+// The request of a caller as the entry sees it.
 struct CallHead {
   RequestId request_id;
   WorkspaceName workspace;
   ServiceName service;
-  // As sent, with its port if it has one.
+  // Value of the Host header as received, with its port if present.
   std::string host;
   std::string method;
   // Path and query as sent.
   std::string target;
-  // The caller's own, shorter than the contract's; empty if not given.
+  // Set by the caller and shorter than the contract's; empty if not given.
   std::optional<Duration> deadline;
   std::optional<IdempotencyKey> idempotency_key;
-  // Of workspace, method, path and the first bytes of the body.
+  // Hash of workspace, method, path and the first bytes of the body.
   Fingerprint fingerprint;
-  // Whether the transport holds the whole body and so can send it again.
+  // Whether the transport has buffered the whole body and can send it again.
   bool is_body_buffered = true;
 };
 
@@ -43,49 +43,51 @@
   std::string method;
   std::string target;
   Fingerprint fingerprint;
-  // What is left of the deadline when the entry sent the request: a duration,
-  // since clocks of two nodes are never compared.
+  // Remaining time until the deadline when the entry sent the request. A
+  // duration, because the clocks of two nodes are never compared.
   Duration time_left{};
   double weight = 1.0;
   double share = 1.0;
   bool is_repeatable = false;
-  // The entry has been told to run this request alone among suspects.
+  // The entry holds the permit to run this suspect request.
   bool is_suspect = false;
-  // The entry will not send it elsewhere if it is refused here.
+  // The entry will not try another owner if this one refuses.
   bool is_last_attempt = false;
-  // 0 is the most urgent. Orders the works that wait for one target.
+  // 0 is the most urgent. Orders the requests queued for one target.
   std::uint32_t priority = 0;
-  // The owner refuses if the target would take longer than this multiple of
-  // its usual time: the entry threshold for a faster one. 0: takes any.
+  // The owner refuses the request if the target would take longer than this
+  // multiple of its usual time, so that the entry can try a faster target. 0:
+  // any slowdown is accepted.
   double max_slowdown = 0;
-  // How long the owner may keep the request for a start that is not slow,
-  // before it refuses.
+  // How long the owner may hold the request for an acceptable start before it
+  // refuses it.
   Duration max_hold{};
-  // What is left until an answer is worth little; empty if it never is.
+  // Remaining time of the latency objective; empty if there is none.
   std::optional<Duration> objective_left{};
 };
 
-// What a target says of itself with an answer, as of that moment.
+// Load that a target reports with an answer, at that moment.
 struct TargetLoadSample {
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
   std::uint32_t slots = 0;
-  // How long work takes now, as a multiple of the usual.
+  // Current service time as a multiple of the usual one.
   double slowdown = 1.0;
 
   friend bool operator==(const TargetLoadSample&,
                          const TargetLoadSample&) = default;
 };
 
-// An owner's exact load at one moment, sent with every answer and refusal.
+// The load of an owner at one moment, sent with every answer and refusal.
 struct LoadReport {
   std::uint32_t in_flight = 0;
   std::uint32_t queued = 0;
-  // Requests that the owner lets the target run at once now.
+  // Requests that the owner currently allows the target to run concurrently.
   std::uint32_t limit = 0;
-  // Recent mean time that the target takes for a request of weight 1.
+  // Recent mean service time of a request of weight 1.
   Duration service_time{};
-  // What a request that started now would take, as a multiple of the usual.
+  // Expected service time of a request that starts now, as a multiple of the
+  // usual one.
   double slowdown = 1.0;
 
   friend bool operator==(const LoadReport&, const LoadReport&) = default;
--- a/source/core/node_logic/entry_side.cc
+++ b/source/core/node_logic/entry_side.cc
@@ -1,4 +1,4 @@
-// Part of `entry_side.h`.
+// Implements `entry_side.h`.
 
 #include "core/node_logic/entry_side.h"
 
@@ -30,7 +30,7 @@
   const PolicySwitches& policies = settings.policies;
   dispatcher.selective_attempts =
       policies.selective_starts ? settings.selective_attempts : 0;
-  dispatcher.accepts_hardly_worse = policies.best_reported_starts;
+  dispatcher.accepts_near_best = policies.best_reported_starts;
   dispatcher.leaves_silent_owners = policies.leave_silent;
   dispatcher.bounds_refusals = settings.is_refusal_free && policies.ask_budget;
   dispatcher.has_objectives = settings.has_route_document;
@@ -66,8 +66,8 @@
 }
 
 void EntrySide::OnCallArrived(TimePoint now, CallArrived event) {
-  // An id that is in use stands for the call that has it. A second one would
-  // take away what the first holds, or give it two outcomes.
+  // The id belongs to a call in progress. A second call with it would take over
+  // resources of the first or end it with two outcomes.
   if (m_pipeline.Find(event.call))
     return;
   m_last_arrival = now;
@@ -86,8 +86,8 @@
 }
 
 void EntrySide::OnCallAccepted(TimePoint now, Call& call) {
-  // What goes wrong without it: the node ends with the call under way, and its
-  // caller loses an answer that another node could have brought.
+  // Without this check the node could exit while the call is in progress, and
+  // its caller would lose an answer that another node could deliver.
   if (call.deadline > m_ends_at) {
     m_pipeline.End(now, call.id,
                    CallEnd{Outcome::kNotRun, Reason::kDraining, {}, false});
@@ -109,8 +109,8 @@
   Record(now, call, end);
 }
 
-// What is cheap and certain goes first; what takes something that has to be
-// given back, or costs a write to the table, goes last.
+// Cheap checks without side effects run first; filters that acquire something
+// or write to the table run last.
 void EntrySide::AddFilters(const NodeSettings& settings) {
   if (m_has_route_document) {
     m_pipeline.AddFilter(std::make_unique<RouteFilter>(
@@ -120,7 +120,8 @@
         std::make_unique<ContractFilter>(m_parts.contracts, m_pipeline));
     m_pipeline.AddFilter(std::make_unique<LimitFilter>(m_parts.limiter));
   }
-  // Where refusals are free of a budget: elsewhere the budget bounds them.
+  // Only where refusals cost no retry; otherwise the retry budget limits the
+  // attempts.
   if (settings.is_refusal_free && settings.policies.throttle) {
     auto throttle = std::make_unique<ThrottleFilter>(m_parts.random);
     m_throttle = throttle.get();
@@ -132,8 +133,8 @@
       std::make_unique<ClaimFilter>(m_parts.claims, m_pipeline));
 }
 
-// The one place that gives a call its final answer, unless a target's whole
-// answer has been relayed.
+// The only place that sends a final answer to a caller, except for complete
+// answers relayed from a target.
 void EntrySide::Answer(const Call& call, const CallEnd& end) {
   if (end.is_replay) {
     m_parts.actions.Push(ReplayAnswer{
@@ -172,7 +173,7 @@
            ToMilliseconds(call.head.deadline.value_or(Duration::zero())))
       .Add("waited_before_ms", ToMilliseconds(call.waited_before))
       .Add("ms", ToMilliseconds(now - call.arrived_at));
-  // A call that no route matches has no deadline.
+  // A call without a matching route has no deadline.
   if (call.deadline != TimePoint::max())
     line.Add("left_ms", ToMilliseconds(call.deadline - now));
   m_parts.metrics.OnCall(call.head.service, end.outcome, end.reason,
--- a/source/core/node_logic/entry_side.h
+++ b/source/core/node_logic/entry_side.h
@@ -1,5 +1,5 @@
-// A node as the entry of callers' calls: the filters in their order, and the
-// dispatcher after them.
+// The entry role of a node: runs calls of callers through the filter pipeline
+// and the dispatcher.
 
 #ifndef BULRUSHMOUNT_CORE_NODE_LOGIC_ENTRY_SIDE_H_
 #define BULRUSHMOUNT_CORE_NODE_LOGIC_ENTRY_SIDE_H_
@@ -47,18 +47,18 @@
   EntrySide(const NodeSettings& settings, const Parts& parts);
 
   void OnCallArrived(TimePoint now, CallArrived event);
-  // The target beside answered a request with an error.
+  // The local target answered a request with an error.
   void OnTargetError(TimePoint now);
   Dispatcher& dispatcher() { return m_dispatcher; }
 
-  // New calls are refused from `refuse_from` on, and before that those that may
-  // take until after `ends_at`; those under way go on.
+  // Refuses new calls from `refuse_from` on, and before that calls whose
+  // deadline is after `ends_at`. Calls in progress continue.
   void Drain(TimePoint refuse_from, TimePoint ends_at) {
     m_refuse_from = refuse_from;
     m_ends_at = ends_at;
   }
 
-  // When a call last came; the earliest time there is before the first.
+  // Arrival time of the last call; TimePoint::min() before the first.
   TimePoint last_arrival() const { return m_last_arrival; }
 
   void SetFleetSize(std::size_t nodes) {
@@ -77,7 +77,7 @@
   void OnCallEnded(TimePoint now, Call& call, const CallEnd& end) override;
 
   void AddFilters(const NodeSettings& settings);
-  // When the refused caller had best come back; empty: as the reason says.
+  // Retry-After of a refusal; empty: the default of the reason.
   std::optional<Duration> RetryAfterFor(Reason reason) const;
   void Answer(const Call& call, const CallEnd& end);
   void Record(TimePoint now, const Call& call, const CallEnd& end);
@@ -85,7 +85,7 @@
   Parts m_parts;
   std::unique_ptr<RetryBudget> m_retries;
   CallPipeline m_pipeline;
-  // One of the pipeline's filters; null without it.
+  // Owned by the pipeline; null if throttling is off.
   ThrottleFilter* m_throttle = nullptr;
   Dispatcher m_dispatcher;
   bool m_has_route_document = false;
--- a/source/core/node_logic/events.h
+++ b/source/core/node_logic/events.h
@@ -1,4 +1,4 @@
-// What happens to a node, as typed values: the way into the node_logic facade.
+// The input events of NodeLogic, as typed values.
 
 #ifndef BULRUSHMOUNT_CORE_NODE_LOGIC_EVENTS_H_
 #define BULRUSHMOUNT_CORE_NODE_LOGIC_EVENTS_H_
@@ -20,18 +20,19 @@
 
 // --- Entry side -------------------------------------------------------------
 
-// A caller's request head, and the buffered start of its body, are here.
+// The head of a request and the buffered start of its body have arrived from a
+// caller.
 struct CallArrived {
   CallId call;
   CallHead head;
 };
 
-// The caller closed its connection or cancelled; nothing can be told to it.
+// The caller closed its connection or cancelled; no result can be delivered.
 struct CallerDisconnected {
   CallId call;
 };
 
-// The owner did not run the attempt and says so with its true load.
+// The owner did not run the attempt; `load` is its current load.
 struct AttemptRefused {
   CallId call;
   AttemptNumber attempt;
@@ -39,7 +40,7 @@
   LoadReport load;
 };
 
-// The head of the target's answer has come from the owner.
+// The head of the target's answer has arrived from the owner.
 struct AttemptAnswerBegun {
   CallId call;
   AttemptNumber attempt;
@@ -47,59 +48,59 @@
   LoadReport load;
 };
 
-// A whole answer that `RelayAnswer::keep_bytes` asked to keep a copy of.
+// Copy of a complete answer, as requested with `RelayAnswer::keep_bytes`.
 struct KeptAnswer {
   std::string content_type;
   std::string body;
 };
 
-// The whole answer has been relayed to the caller.
+// The complete answer has been relayed to the caller.
 struct AttemptAnswerEnded {
   CallId call;
   AttemptNumber attempt;
   LoadReport load;
-  // Empty if no copy was asked for, or the body was too large.
+  // Empty if no copy was requested or the body was too large.
   std::optional<KeptAnswer> kept;
-  // Of its body.
+  // Size of the body.
   std::uint64_t bytes = 0;
 };
 
-// The attempt broke off without a refusal or a whole answer.
+// The attempt ended without a refusal or a complete answer.
 struct AttemptLost {
   CallId call;
   AttemptNumber attempt;
   // No byte of the request left this node, or the owner reset the stream as
-  // never processed: certainly not run.
+  // never processed, so the request was certainly not run.
   bool is_certainly_not_run = false;
   Reason reason = Reason::kNodeLost;
 };
 
-// Nothing is heard from the owner's node any more, not even an answer to a
-// question of the connection's own. The attempt goes on: the node may be back.
+// The owner's node no longer sends anything, not even replies to keep-alive
+// probes of the connection. The attempt stays open, since the node may recover.
 struct AttemptSilent {
   CallId call;
   AttemptNumber attempt;
 };
 
-// No byte of the answer has moved for the minimum progress time.
+// No byte of the answer was transferred for the minimum progress time.
 struct AnswerStalled {
   CallId call;
 };
 
 // --- Owner side -------------------------------------------------------------
 
-// A request has come over a node stream, or from this node's own entry.
+// A request has arrived over a node stream or from the entry of this node.
 struct WorkArrived {
   WorkId work;
   WorkHead head;
 };
 
-// The entry cancelled or was lost. What the target does is of no more use.
+// The entry cancelled the request or was lost; the answer is no longer needed.
 struct WorkCancelled {
   WorkId work;
 };
 
-// The connection to the target could not be made: no byte was handed over.
+// The connection to the target failed; no byte was handed over.
 struct TargetConnectFailed {
   WorkId work;
 };
@@ -107,11 +108,11 @@
 struct TargetAnswerBegun {
   WorkId work;
   int status = 0;
-  // The target's documented signal that it did not run the request.
+  // The target signalled that it did not run the request.
   bool is_shed = false;
-  // The same, since the request was meant for another target.
+  // The target did not run the request because it was meant for another target.
   bool is_wrong_target = false;
-  // Empty if the target tells nothing of its load.
+  // Empty if the target does not report its load.
   std::optional<TargetLoadSample> load_sample{};
 };
 
@@ -119,14 +120,14 @@
   WorkId work;
 };
 
-// The exchange broke off after bytes of the request were handed over.
+// The exchange failed after bytes of the request were handed over.
 struct TargetExchangeFailed {
   WorkId work;
   // An answer had begun.
   bool is_answer_begun = false;
 };
 
-// --- Target beside this node ------------------------------------------------
+// --- Local target ------------------------------------------------------------
 
 struct TargetAnnounced {
   ServiceName service;
@@ -134,24 +135,25 @@
   std::uint32_t slots = 0;
   std::uint32_t connections = 0;
   Incarnation incarnation;
-  // What is left of its cold start, if it tells.
+  // Remaining time of its cold start, if reported.
   std::optional<Duration> cold_time_left{};
 };
 
-// It drains: no new work, what runs goes on.
+// The target drains: it gets no new work, and running requests continue.
 struct TargetWithdrawn {};
 
-// The target says that it has left. It may go on with what it runs.
+// The target reports that it has left. It may finish running requests.
 struct TargetDeparted {
   InstanceId instance;
-  // Which process of it has left; empty if that is not told.
+  // Start of the process that has left; empty if not reported.
   std::optional<ProcessStart> started{};
 };
 
-// A target's word could not be read. It opens and closes nothing.
+// A report of the target was invalid and is ignored: it neither opens nor
+// closes the target's gate.
 struct TargetReportRefused {
   InstanceId instance;
-  // For the log: which field, and what it must be.
+  // Names the invalid field and the expected value, for the log.
   std::string fault;
 };
 
@@ -159,10 +161,10 @@
   ProbeId probe;
   bool is_healthy = false;
   Duration latency{};
-  // Empty if the target does not tell.
+  // Empty if the target does not report it.
   InstanceId instance{};
   std::optional<TargetLoadSample> load_sample{};
-  // How long the target stays cold; empty if its answers do not say.
+  // How long the target stays cold; empty if not reported.
   std::optional<Duration> cold_time_left{};
 };
 
@@ -184,21 +186,21 @@
 
 enum class OperatorVerb : std::uint8_t { kShow, kList, kWrite, kWithdraw };
 
-// A call on the operator address about contracts.
+// A request about contracts on the operator address.
 struct OperatorRequested {
   OperatorRequestId request;
   OperatorVerb verb = OperatorVerb::kShow;
   WorkspaceName workspace;
-  // kWrite: the contract's YAML, as sent.
+  // For kWrite: the contract's YAML as received.
   std::string body;
   // The `If-Match` version; 0 without one.
   RowVersion if_version;
 };
 
-// The time that `NodeLogic::NextWakeup` asked for has come.
+// The time returned by `NodeLogic::NextWakeup` has been reached.
 struct TimerFired {};
 
-// SIGTERM.
+// SIGTERM was received.
 struct ShutdownRequested {};
 
 using NodeEvent = std::variant<CallArrived,
--- a/source/core/node_logic/failed_exchanges.cc
+++ b/source/core/node_logic/failed_exchanges.cc
@@ -1,4 +1,4 @@
-// Part of `failed_exchanges.h`.
+// Implements `failed_exchanges.h`.
 
 #include "core/node_logic/failed_exchanges.h"
 
@@ -9,23 +9,23 @@
 
 namespace {
 
-// A target that crashed refuses connections at once, and its successor reports
+// A crashed target refuses connections at once, and its replacement reports
 // within seconds.
-constexpr Duration kCrashNoticedWithin = std::chrono::seconds(5);
-// Memory only: more than a target runs at once.
-constexpr std::size_t kMostKept = 256;
+constexpr Duration kCrashDetectionTime = std::chrono::seconds(5);
+// Bounds memory; more requests than a target runs concurrently.
+constexpr std::size_t kMaxFailures = 256;
 
 }  // namespace
 
-void FailedExchanges::Note(TimePoint now, const AdmittedWork& work) {
-  Forget(now);
-  if (m_works.size() >= kMostKept)
+void FailedExchanges::Add(TimePoint now, const AdmittedWork& work) {
+  RemoveExpired(now);
+  if (m_works.size() >= kMaxFailures)
     m_works.pop_front();
   m_works.push_back({now, work});
 }
 
 std::vector<AdmittedWork> FailedExchanges::TakeRecent(TimePoint now) {
-  Forget(now);
+  RemoveExpired(now);
   std::vector<AdmittedWork> recent;
   recent.reserve(m_works.size());
   for (const FailedWork& broken : m_works)
@@ -34,9 +34,9 @@
   return recent;
 }
 
-void FailedExchanges::Forget(TimePoint now) {
+void FailedExchanges::RemoveExpired(TimePoint now) {
   std::erase_if(m_works, [now](const FailedWork& broken) {
-    return now - broken.at > kCrashNoticedWithin;
+    return now - broken.at > kCrashDetectionTime;
   });
 }
 
--- a/source/core/node_logic/failed_exchanges.h
+++ b/source/core/node_logic/failed_exchanges.h
@@ -1,6 +1,6 @@
-// Collects exchanges that broke off at a target that may have crashed. Where a
-// lost answer alone is no sign of a crash, they become crash suspects only when
-// a refused connection or a successor confirms it.
+// Collects failed exchanges with a target that may have crashed. Where a lost
+// answer alone does not indicate a crash, their requests become crash suspects
+// only when a refused connection or a replacement process confirms it.
 
 #ifndef BULRUSHMOUNT_CORE_NODE_LOGIC_FAILED_EXCHANGES_H_
 #define BULRUSHMOUNT_CORE_NODE_LOGIC_FAILED_EXCHANGES_H_
@@ -15,8 +15,8 @@
 
 class FailedExchanges {
  public:
-  void Note(TimePoint now, const AdmittedWork& work);
-  // Removes all; returns those that may have caused the crash.
+  void Add(TimePoint now, const AdmittedWork& work);
+  // Removes all and returns those that may have caused the crash.
   std::vector<AdmittedWork> TakeRecent(TimePoint now);
 
  private:
@@ -25,9 +25,9 @@
     AdmittedWork work;
   };
 
-  void Forget(TimePoint now);
+  void RemoveExpired(TimePoint now);
 
-  // Newest last; bounded.
+  // Oldest first; bounded.
   std::deque<FailedWork> m_works;
 };
 
--- a/source/core/node_logic/node.cc
+++ b/source/core/node_logic/node.cc
@@ -1,5 +1,5 @@
-// Part of `node.h`: construction, events and timers. What news of one part
-// means to the others is in node_settle.cc.
+// Implements `node.h`: construction, events and timers. The propagation of
+// changes between modules is in node_updates.cc.
 
 #include "core/node_logic/node.h"
 
@@ -19,18 +19,19 @@
 
 constexpr int kFirstServerError = 500;
 
-// Series of pairs of workspace and kind that a node keeps histograms of.
+// Maximum number of pairs of workspace and kind with histograms.
 constexpr std::size_t kMaxReportSeries = 512;
 
-// A node that leaves waits no longer for what is only tidy: its row in the
-// table, and outcomes of claims while the table is down.
-constexpr Duration kLongestTidyUp = std::chrono::seconds(5);
+// How long a leaving node waits for cleanup that is not required: removing its
+// row in the table, and outcomes of claims while the table is unavailable.
+constexpr Duration kMaxCleanupTime = std::chrono::seconds(5);
 
-// Ten times as long as the first rows take to be seen by others.
+// Ten times the time after which the first rows are visible to other nodes.
 constexpr Duration kFirstStartWindow = std::chrono::seconds(1);
 
-// A leaving node to which no call came for this long is known to be leaving.
-constexpr Duration kQuietTime = std::chrono::milliseconds(500);
+// If no call arrives for this long, all callers are assumed to know that the
+// node is leaving.
+constexpr Duration kIdleTime = std::chrono::milliseconds(500);
 
 MembershipSettings MakeMembershipSettings(const NodeSettings& settings) {
   MembershipSettings membership;
@@ -183,20 +184,21 @@
   std::visit(
       [this, now](auto&& one) { On(now, std::forward<decltype(one)>(one)); },
       std::move(event));
-  Settle(now);
+  PropagateChanges(now);
   return m_actions.Take();
 }
 
-// While callers are served, whether they still come is looked at now and then.
+// While callers are served during a shutdown, a periodic check finds out
+// whether calls still arrive.
 TimePoint Node::NextLeaveStep() const {
   if (!m_leaving_since || m_has_exited)
     return TimePoint::max();
   if (m_has_announced_leave)
     return *m_leaving_since + m_settings.longest_leave - kEndMargin;
   if (!m_owner.is_leaving())
-    return OwnerDrainsAt();
+    return OwnerDrainTime();
   return std::max(*m_leaving_since + m_settings.leave_time,
-                  m_event_time + kQuietTime);
+                  m_event_time + kIdleTime);
 }
 
 TimePoint Node::NextWakeup() const {
@@ -207,11 +209,11 @@
        m_watch_duty.NextChange(m_event_time), m_limiter.NextWakeup(),
        m_quarantine.NextWakeup(), m_claims.NextWakeup(), SweepWakeup(),
        m_owner.NextWakeup(), m_probes.NextWakeup(), m_entry.NextWakeup(),
-       m_next_question});
+       m_next_revision_query});
 }
 
-// Under a routing document no request has a key, so there are no claims to
-// sweep, and reads of the table cost.
+// With a routing document no request has an idempotency key, so there are no
+// claims to sweep, and table reads cost.
 TimePoint Node::SweepWakeup() const {
   return m_decoder ? TimePoint::max() : m_claim_sweeper.NextWakeup();
 }
@@ -382,7 +384,7 @@
   if (m_leaving_since)
     return;
   m_leaving_since = now;
-  m_entry.Drain(now + LongestService(), LastAnswerAt(now));
+  m_entry.Drain(now + MaxServingTime(), LastAnswerDeadline(now));
   DrainOwnerWhenDue(now);
   AnnounceLeaveWhenIdle(now);
   LogLine(LogLevel::kInfo, "node.leaving")
@@ -391,41 +393,41 @@
 }
 
 // Load pattern: the nodes of a service are restarted one after the other while
-// their targets run on. A target that gets no work from the signal on is idle
-// until its node is back, and the others lack its slots; what is started in the
-// first half of the leave time ends well before the node does.
+// their targets keep running. A target that gets no work from the signal on
+// would be idle until its node is back, and the service would lack its slots.
+// Requests started in the first half of the leave time end well before the node
+// exits.
 void Node::DrainOwnerWhenDue(TimePoint now) {
-  if (!m_leaving_since || m_owner.is_leaving() || now < OwnerDrainsAt())
+  if (!m_leaving_since || m_owner.is_leaving() || now < OwnerDrainTime())
     return;
   m_owner.Drain(now);
 }
 
-TimePoint Node::OwnerDrainsAt() const {
+TimePoint Node::OwnerDrainTime() const {
   return *m_leaving_since + m_settings.leave_time / 2;
 }
 
-// Calls that may take longer than this are not begun any more.
-TimePoint Node::LastAnswerAt(TimePoint leaving_since) const {
+// Calls whose deadline is later than this are refused.
+TimePoint Node::LastAnswerDeadline(TimePoint leaving_since) const {
   if (m_settings.leave_time <= Duration::zero())
     return TimePoint::max();
   return leaving_since + m_settings.longest_leave - kEndMargin;
 }
 
-// How long callers may be served after a shutdown was asked for.
-Duration Node::LongestService() const {
+// Maximum time for which callers are served after a shutdown request.
+Duration Node::MaxServingTime() const {
   if (m_settings.leave_time <= Duration::zero())
     return Duration::zero();
   return std::max(m_settings.leave_time,
                   m_settings.longest_leave - kLastMoments);
 }
 
-// Callers turn to other nodes only once they have seen that this one is not
-// ready, and some have no other to turn to. Until they stay away it goes on as
-// an entry, and hears of owners by gossip.
+// Callers switch to other nodes only after they have seen that this one is not
+// ready, and some have no other node. Until calls stop, the node continues as
+// an entry and receives updates about owners by gossip.
 //
-// What goes wrong without it: the node refuses whoever still comes after a
-// fixed time; one would see callers refused for seconds by a node that was
-// well.
+// A fixed time instead would refuse callers for seconds although the node still
+// works.
 void Node::AnnounceLeaveWhenIdle(TimePoint now) {
   if (!m_leaving_since || m_has_announced_leave)
     return;
@@ -433,9 +435,9 @@
   const bool is_idle = m_entry.size() == 0 && m_owner.size() == 0;
   const bool is_quiet =
       is_idle && (m_entry.last_arrival() == TimePoint::min() ||
-                  now - m_entry.last_arrival() >= kQuietTime);
+                  now - m_entry.last_arrival() >= kIdleTime);
   const bool has_served = since >= m_settings.leave_time && is_quiet;
-  const bool must_end = since >= LongestService();
+  const bool must_end = since >= MaxServingTime();
   if (m_settings.leave_time > Duration::zero() && !has_served && !must_end)
     return;
   m_has_announced_leave = true;
@@ -454,9 +456,9 @@
   }
   if (!m_has_announced_leave || m_entry.size() > 0 || m_owner.size() > 0)
     return;
-  const bool is_tidy = m_membership.phase() == MemberPhase::kLeft &&
-                       m_directory.has_left() && m_claims.size() == 0;
-  if (!is_tidy && now - *m_leaving_since < kLongestTidyUp)
+  const bool is_cleaned_up = m_membership.phase() == MemberPhase::kLeft &&
+                             m_directory.has_left() && m_claims.size() == 0;
+  if (!is_cleaned_up && now - *m_leaving_since < kMaxCleanupTime)
     return;
   m_has_exited = true;
   m_actions.Push(ExitProcess{});
--- a/source/core/node_logic/node.h
+++ b/source/core/node_logic/node.h
@@ -1,5 +1,5 @@
-// One node's decision logic put together: who hears of which event, and what
-// news of one part means to the others.
+// Combines the modules of a node's decision logic: dispatches events to them
+// and propagates state changes between them.
 
 #ifndef BULRUSHMOUNT_CORE_NODE_LOGIC_NODE_H_
 #define BULRUSHMOUNT_CORE_NODE_LOGIC_NODE_H_
@@ -38,7 +38,8 @@
 
 class Node : private OwnerDirectory, private ContractListener {
  public:
-  // `decoder` reads the operator's routing document; null without one.
+  // `decoder` reads the routing document of the operator; null if there is
+  // none.
   Node(const NodeSettings& settings,
        const RouteDocumentDecoder* decoder,
        RandomSource& random,
@@ -61,7 +62,7 @@
                          const WorkspaceName& workspace,
                          const Contract* contract) override;
 
-  // One overload for each event.
+  // One overload per event type.
   void On(TimePoint now, CallArrived event);
   void On(TimePoint now, const CallerDisconnected& event);
   void On(TimePoint now, const AttemptRefused& event);
@@ -89,31 +90,31 @@
   void On(TimePoint now, const TimerFired& event);
   void On(TimePoint now, const ShutdownRequested& event);
 
-  // After each event: lets news of one part reach the others.
-  void Settle(TimePoint now);
-  void TakeMemberChanges(TimePoint now);
-  void TakeMemberChange(TimePoint now, const MemberChange& change);
+  // Called after each event: propagates changes of one module to the others.
+  void PropagateChanges(TimePoint now);
+  void ApplyMemberChanges(TimePoint now);
+  void ApplyMemberChange(TimePoint now, const MemberChange& change);
   void TakeBroadcasts(TimePoint now);
   void OnLocalCommit(TimePoint now, const ConfigChange& change);
-  void AskForRevisions(TimePoint now);
+  void QueryMemberRevisions(TimePoint now);
   void PublishTarget(TimePoint now);
   void UpdateMeasuringBudget(TimePoint now);
   void RunProbes(TimePoint now);
   void UpdateFleetSize();
   void UpdateMembers(TimePoint now);
   void UpdateConfigSync(TimePoint now, const Member& member);
-  void TakeNewestRevision(TimePoint now);
-  void TakeDirectoryNews(TimePoint now);
-  void TakeRouteDocument(TimePoint now);
-  void TakeEvacuationContract(TimePoint now, const Contract* contract);
-  void TakeEvacuations(TimePoint now);
+  void ApplyNewestRevision(TimePoint now);
+  void ApplyDirectoryChanges(TimePoint now);
+  void ApplyRouteDocument(TimePoint now);
+  void ApplyEvacuationContract(TimePoint now, const Contract* contract);
+  void ApplyEvacuations(TimePoint now);
   void UpdateRouter(TimePoint now, const Member& member, bool is_forgotten);
-  Duration LongestService() const;
-  TimePoint LastAnswerAt(TimePoint leaving_since) const;
+  Duration MaxServingTime() const;
+  TimePoint LastAnswerDeadline(TimePoint leaving_since) const;
   TimePoint NextLeaveStep() const;
   void DrainOwnerWhenDue(TimePoint now);
-  // Only once the node leaves.
-  TimePoint OwnerDrainsAt() const;
+  // Valid only while the node is leaving.
+  TimePoint OwnerDrainTime() const;
   void AnnounceLeaveWhenIdle(TimePoint now);
   void ExitWhenDone(TimePoint now);
   TimePoint SweepWakeup() const;
@@ -121,7 +122,7 @@
 
   NodeSettings m_settings;
   RandomSource& m_random;
-  // The time of the event that is being handled, or was last.
+  // Time of the current or the most recent event.
   TimePoint m_event_time;
   ActionQueue m_actions;
   TablePort m_table;
@@ -142,7 +143,7 @@
   ClaimBook m_claims;
   ClaimSweeper m_claim_sweeper;
   CallRecorder m_recorder;
-  // Gauges are set when the page is asked for.
+  // Mutable because gauges are set when the page is rendered.
   mutable MetricsRegistry m_registry;
   TrafficMetrics m_metrics;
   Router m_router;
@@ -151,24 +152,26 @@
   EntrySide m_entry;
 
   std::uint64_t m_probes_sent = 0;
-  // The configuration's sync was told what the members' rows let expect.
-  bool m_has_set_expectation = false;
+  // Whether ConfigSync has received from the member rows whether peers are
+  // expected.
+  bool m_has_set_peer_expectation = false;
   bool m_was_table_available = true;
-  // The evacuations that the router and the owner go by.
+  // The evacuated zones that the router and the owner currently use.
   std::optional<std::vector<AvailabilityZone>> m_evacuated;
   TableEpoch m_epoch;
-  // The newest revision that the configuration's sync was told of.
+  // The newest revision reported to ConfigSync.
   Revision m_reported_revision;
-  // The last change that an operator made here. While members may lag behind
-  // it they are asked, from m_next_question on until m_questions_end.
+  // Revision of the last change that an operator made at this node. Members
+  // that may not have applied it are queried from m_next_revision_query until
+  // m_revision_queries_end.
   Revision m_committed_revision;
-  TimePoint m_next_question = TimePoint::max();
-  TimePoint m_questions_end;
-  // The revision that the probes were told of.
+  TimePoint m_next_revision_query = TimePoint::max();
+  TimePoint m_revision_queries_end;
+  // The revision last passed to m_probes.
   Revision m_probes_revision;
-  // Set when the node has been told to leave.
+  // Time of the shutdown request.
   std::optional<TimePoint> m_leaving_since;
-  // The leaving was told to the fleet.
+  // Whether the leave was announced to the other members.
   bool m_has_announced_leave = false;
   bool m_has_exited = false;
 };
--- a/source/core/node_logic/node_brain.h
+++ b/source/core/node_logic/node_brain.h
@@ -1,5 +1,5 @@
-// The door of node_logic as the daemon's driver sees it, so that the driver can
-// be tested with a scripted stand-in.
+// Interface of NodeLogic for the driver of the daemon, which can be tested with
+// a scripted implementation.
 
 #ifndef BULRUSHMOUNT_CORE_NODE_LOGIC_NODE_BRAIN_H_
 #define BULRUSHMOUNT_CORE_NODE_LOGIC_NODE_BRAIN_H_
@@ -16,19 +16,19 @@
  public:
   virtual ~NodeBrain() = default;
 
-  // Takes one event; the actions are to be carried out in their order. `now`
-  // never falls from call to call.
+  // Handles one event and returns the actions to carry out, in order. `now`
+  // never decreases between calls.
   virtual std::vector<NodeAction> Handle(TimePoint now, NodeEvent event) = 0;
 
-  // When to hand in the next TimerFired; TimePoint::max() for never. May
-  // change with every event.
+  // When to deliver the next TimerFired; TimePoint::max() for never. May change
+  // with every event.
   virtual TimePoint NextWakeup() const = 0;
 
-  // Whether running the request twice does no harm, by the configuration in
-  // force; false where that is not known. Changes nothing.
+  // Whether the configuration declares the request repeatable; false if that is
+  // unknown. Has no side effects.
   virtual bool IsRepeatable(const CallHead& head) const = 0;
 
-  // Whether this node takes calls; the `/ready` page.
+  // Whether this node accepts calls; shown on the `/ready` page.
   virtual bool IsReady() const = 0;
 };
 
--- a/source/core/node_logic/node_logic.cc
+++ b/source/core/node_logic/node_logic.cc
@@ -1,4 +1,4 @@
-// Part of `node_logic.h`.
+// Implements `node_logic.h`.
 
 #include "core/node_logic/node_logic.h"
 
--- a/source/core/node_logic/node_logic.h
+++ b/source/core/node_logic/node_logic.h
@@ -1,6 +1,6 @@
-// The whole decision logic of a node behind one door: typed events go in, typed
-// actions come out. It does no I/O and reads no clock, so a test can run
-// several nodes joined by a queue, and stop or cut them between two actions.
+// The decision logic of a node as a state machine: it maps typed events to
+// typed actions. It performs no I/O and reads no clock, so a test can connect
+// several nodes by a queue and stop or disconnect them between any two actions.
 
 #ifndef BULRUSHMOUNT_CORE_NODE_LOGIC_NODE_LOGIC_H_
 #define BULRUSHMOUNT_CORE_NODE_LOGIC_NODE_LOGIC_H_
@@ -28,8 +28,8 @@
  public:
   // `random` must outlive the object.
   NodeLogic(const NodeSettings& settings, RandomSource& random, TimePoint now);
-  // The operator writes one routing document, which `decoder` reads. It must
-  // outlive the object.
+  // Uses a routing document of the operator, which `decoder` reads. `decoder`
+  // must outlive the object.
   NodeLogic(const NodeSettings& settings,
             const RouteDocumentDecoder& decoder,
             RandomSource& random,
@@ -44,13 +44,15 @@
   bool IsRepeatable(const CallHead& head) const override;
   bool IsReady() const override;
 
-  // The `/status` page: what this node knows of the fleet and of itself.
+  // Content of the `/status` page: the state of this node and its view of the
+  // fleet.
   std::string StatusJson(TimePoint now) const;
-  // The `/metrics` page, in the Prometheus text form.
+  // Content of the `/metrics` page in the Prometheus text format.
   std::string MetricsText(TimePoint now) const;
-  // This node's part of the burn report.
+  // The burn report of this node.
   BurnReport BurnSnapshot(TimePoint now);
-  // Where the other live members take streams, to gather their parts.
+  // Stream endpoints of the other live members, for collecting their burn
+  // reports.
   std::vector<Endpoint> PeerStreams() const;
 
  private:
--- a/source/core/node_logic/node_pages.cc
+++ b/source/core/node_logic/node_pages.cc
@@ -1,4 +1,4 @@
-// Part of `node.h`: what a node tells operators of itself.
+// Implements `node.h`: the status and metrics pages for operators.
 
 #include <cstdint>
 #include <string>
@@ -109,7 +109,7 @@
   boost::json::array known_zones;
   for (const AvailabilityZone& zone : m_settings.known_zones)
     known_zones.emplace_back(zone.value());
-  // Null as long as nobody has confirmed it to this node.
+  // Null until the configuration is confirmed for the first time.
   boost::json::value config_age;
   if (const auto age = m_config_sync.AgeOfConfirmation(now))
     config_age = ToMilliseconds(*age);
--- a/source/core/node_logic/node_settings.h
+++ b/source/core/node_logic/node_settings.h
@@ -1,5 +1,5 @@
-// The settings of one node's decision logic, typed, with their defaults in one
-// place. The settings file of the daemon fills them in.
+// Settings of the decision logic of one node and their defaults. The daemon
+// fills them from its settings file.
 
 #ifndef BULRUSHMOUNT_CORE_NODE_LOGIC_NODE_SETTINGS_H_
 #define BULRUSHMOUNT_CORE_NODE_LOGIC_NODE_SETTINGS_H_
@@ -16,15 +16,16 @@
 
 namespace bulrushmount {
 
-// The last part of NodeSettings::longest_leave, in which nothing new is taken:
-// what has begun can end, and the process ends by itself.
+// The last part of NodeSettings::longest_leave, in which no new requests are
+// accepted, so that running ones can end and the process exits by itself.
 inline constexpr Duration kLastMoments = std::chrono::milliseconds(800);
-// Of these, so much is left when the node ends whatever is under way.
+// Time before the end of longest_leave at which the node exits regardless of
+// requests in progress.
 inline constexpr Duration kEndMargin = std::chrono::milliseconds(200);
 
 struct NodeSettings {
   NodeId id;
-  // Where other nodes reach this one.
+  // Endpoints at which other nodes reach this one.
   Endpoint stream_endpoint;
   Endpoint gossip_endpoint;
   AvailabilityZone zone;
@@ -32,83 +33,85 @@
   // Zones that operators may evacuate; any if empty.
   std::vector<AvailabilityZone> known_zones;
 
-  // SWIM: one direct heartbeat a period.
+  // SWIM protocol period: one direct probe per period.
   Duration heartbeat_period = std::chrono::milliseconds(500);
-  // From suspicion to death, unless refuted.
+  // Time from suspicion until a member is declared dead unless it refutes.
   Duration suspicion_time = std::chrono::seconds(2);
 
-  // How often the whole fleet together reads the configuration revision.
+  // Rate at which all nodes together read the configuration revision.
   double fleet_config_polls_per_second = 2.0;
 
   // Retries are at most this fraction of recent first attempts.
   double retry_budget_fraction = 0.2;
   std::uint32_t max_attempts = 4;
 
-  // Term of a share of the measuring budget.
+  // Lease time of a share of the measuring budget.
   Duration measuring_term = std::chrono::seconds(10);
 
-  // What a request and its answer spend on the way to an owner in another
-  // availability zone, and in another region. The picker weighs them against
-  // the load it expects.
+  // Network round-trip time to an owner in another availability zone and in
+  // another region. The picker adds it to the expected service time.
   Duration zone_round_trip = std::chrono::milliseconds(1);
-  // What a kilobyte between availability zones costs, as the wait that a caller
-  // would have instead; 0 where such bytes are free.
+  // Cost of transferring a kilobyte between availability zones, as the
+  // additional delay for the caller that it is worth avoiding; 0 where transfer
+  // is free.
   Duration zone_kilobyte{};
   Duration region_round_trip = std::chrono::milliseconds(30);
 
-  // A target's cold start, over which its share of picks rises.
+  // Duration of a target's cold start, over which its share of the picks rises.
   Duration warmup = std::chrono::seconds(10);
 
-  // What a cold target tolerates in addition to the rate of its service.
+  // Allowance of a cold target in addition to the cold rate of its service.
   ColdStartSettings cold_start;
 
-  // A convicted request is refused for this long.
+  // How long a convicted request is refused.
   Duration quarantine_time = std::chrono::minutes(10);
 
-  // The targets of the fleet are known by ids, and the operator writes one
-  // routing document instead of contracts.
+  // Targets have ids, and the operator writes one routing document instead of
+  // contracts.
   bool has_route_document = false;
 
-  // A request whose exchange broke off is suspected of crashing targets only
-  // once its target is seen to be down. Without it every lost answer keeps its
-  // request from being sent again.
+  // A request whose exchange failed is suspected of crashing targets only once
+  // its target is found to be down. If false, every lost answer makes its
+  // request suspect and prevents a retry.
   bool needs_crash_to_suspect = false;
 
-  // A target that answers with errors or sheds stays in service at its owner:
-  // whether it does worse than its peers only entries can see. Without it an
-  // owner judges its target alone.
+  // A target that answers with errors or sheds stays in service at its owner,
+  // because only entries can compare it with its peers. If false, the owner
+  // decides alone.
   bool do_entries_judge_errors = false;
 
-  // Only what was handed to a target counts against the retry budget: an
-  // owner's refusal costs its target nothing.
+  // Only attempts that were handed to a target count against the retry budget,
+  // since a refusal by an owner costs its target nothing.
   bool is_refusal_free = false;
 
-  // Owners that a call asks for a fast start before it takes the least slow one
-  // found; 0 where targets do not tell their speed.
+  // Number of owners tried for a fast start before the call takes the fastest
+  // start that was offered; 0 where targets do not report their speed.
   std::uint32_t selective_attempts = 0;
 
   PolicySwitches policies;
 
-  // Arrivals at targets beyond the first of each request, over the whole fleet
-  // and any window of this length: a fraction of the requests (above) and this
-  // many more.
+  // Retry budget of the fleet: in any window of this length, hand-overs to
+  // targets beyond the first of each request are limited to
+  // retry_budget_fraction of the requests plus `retry_slack`.
   Duration retry_window = std::chrono::seconds(1);
   double retry_slack = 5.0;
 
-  // After a shutdown was asked for, callers that have not yet heard are served
-  // for this long, and for as long as they keep coming. 0: they are refused at
-  // once.
+  // After a shutdown request, callers are served for at least this long and as
+  // long as they keep sending. 0: they are refused at once.
   Duration leave_time{};
-  // The node ends by then, whatever is under way: its platform would kill it.
+  // The node exits by then regardless of requests in progress, since its
+  // platform would kill it.
   Duration longest_leave = std::chrono::hours(1);
 
-  // The whole fleet starts for the first time, and no member has a row yet. The
-  // nodes look for rows at different times then, so that most find one.
+  // The whole fleet starts for the first time, and the table has no member rows
+  // yet. The nodes then read the rows at different times, so that most of them
+  // find one.
   bool is_first_start = false;
-  // How often a node of a small fleet looks at the table's rows of members.
+  // Interval at which a node of a small fleet reads the member rows of the
+  // table.
   Duration directory_interval = std::chrono::seconds(10);
 
-  // An answer of which no byte moves for this long is broken off.
+  // An answer without any transferred byte for this long is aborted.
   Duration min_progress_time = std::chrono::seconds(30);
 };
 
--- a/source/core/node_logic/node_settle.cc
+++ b/source/core/node_logic/node_settle.cc
@@ -1,4 +1,4 @@
-// Part of `node.h`: what news of one part of a node means to the others.
+// Implements `node.h`: propagates state changes of one module to the others.
 
 #include <algorithm>
 #include <chrono>
@@ -24,34 +24,35 @@
   return ZoneDistance::kSameZone;
 }
 
-// After a change made here: how often members that lag are asked, how many at a
-// time, and for how long. It is a burst: 16 heartbeats each 100 ms.
-constexpr Duration kQuestionPeriod = std::chrono::milliseconds(100);
-constexpr std::size_t kMembersAsked = 16;
-constexpr Duration kLongestQuestions = std::chrono::seconds(10);
+// After a configuration change made at this node, members that have not
+// confirmed it are queried: the interval, the number of members per query and
+// the total time. That is a burst of 16 heartbeats every 100 ms.
+constexpr Duration kRevisionQueryPeriod = std::chrono::milliseconds(100);
+constexpr std::size_t kMembersPerQuery = 16;
+constexpr Duration kMaxRevisionQueryTime = std::chrono::seconds(10);
 
 }  // namespace
 
-void Node::Settle(TimePoint now) {
+void Node::PropagateChanges(TimePoint now) {
   m_membership.Introduce(now, m_directory.TakeFound(m_membership.table()));
-  TakeDirectoryNews(now);
+  ApplyDirectoryChanges(now);
   DrainOwnerWhenDue(now);
   PublishTarget(now);
   UpdateMeasuringBudget(now);
-  TakeEvacuations(now);
-  TakeMemberChanges(now);
-  TakeNewestRevision(now);
+  ApplyEvacuations(now);
+  ApplyMemberChanges(now);
+  ApplyNewestRevision(now);
   m_config_sync.SetWatchDuty(now, m_watch_duty.IsOnDuty(now));
-  AskForRevisions(now);
+  QueryMemberRevisions(now);
   TakeBroadcasts(now);
   RunProbes(now);
   AnnounceLeaveWhenIdle(now);
   ExitWhenDone(now);
 }
 
-void Node::TakeDirectoryNews(TimePoint now) {
+void Node::ApplyDirectoryChanges(TimePoint now) {
   const std::optional<std::size_t> rows = m_directory.rows_found();
-  if (rows && !std::exchange(m_has_set_expectation, true)) {
+  if (rows && !std::exchange(m_has_set_peer_expectation, true)) {
     m_config_sync.OnPeersExpected(
         now, *rows >= MemberDirectorySettings{}.wanted_rows);
   }
@@ -61,11 +62,11 @@
     m_directory.OnTableAvailable(now);
 }
 
-void Node::TakeMemberChanges(TimePoint now) {
+void Node::ApplyMemberChanges(TimePoint now) {
   const std::vector<MemberChange> changes = m_membership.TakeChanges();
   bool has_peers_changed = false;
   for (const MemberChange& change : changes) {
-    TakeMemberChange(now, change);
+    ApplyMemberChange(now, change);
     const bool is_live = IsLive(change.member.state);
     has_peers_changed |= change.kind != MemberChangeKind::kUpdated ||
                          is_live != IsLive(change.before);
@@ -76,7 +77,7 @@
     UpdateFleetSize();
 }
 
-void Node::TakeMemberChange(TimePoint now, const MemberChange& change) {
+void Node::ApplyMemberChange(TimePoint now, const MemberChange& change) {
   const Member& member = change.member;
   if (member.state != change.before ||
       change.kind == MemberChangeKind::kAdded) {
@@ -91,8 +92,8 @@
 void Node::UpdateRouter(TimePoint now,
                         const Member& member,
                         bool is_forgotten) {
-  // A suspect owner may be frozen: calls sent there would wait for nothing. If
-  // it is this node that is cut off, a refusal is the truth as well.
+  // A suspect owner may be frozen, and calls sent there would wait in vain. If
+  // this node is the isolated one, a refusal is correct as well.
   const bool takes_calls =
       !is_forgotten && member.state == MemberState::kAlive && member.target &&
       member.target->is_serving && !m_evacuations.IsEvacuated(member.zone);
@@ -102,7 +103,7 @@
     m_router.Remove(member.id);
 }
 
-void Node::TakeEvacuations(TimePoint now) {
+void Node::ApplyEvacuations(TimePoint now) {
   if (m_evacuations.epoch() > m_epoch) {
     m_epoch = m_evacuations.epoch();
     m_directory.OnTableRestored(now, m_epoch);
@@ -139,15 +140,16 @@
   }
 }
 
-// Heartbeats carry revisions without a change of the member's record.
-void Node::TakeNewestRevision(TimePoint now) {
+// Heartbeats carry revisions without changing the member's record.
+void Node::ApplyNewestRevision(TimePoint now) {
   const Revision newest = m_membership.newest_revision();
   if (newest <= m_contracts.revision() || newest == m_reported_revision)
     return;
   for (const Member* member : m_membership.table().Live()) {
     if (member->revision != newest)
       continue;
-    // Until a member is known to have it in force there is nobody to ask.
+    // Reported only once a member is known that has applied the revision and
+    // can be queried for it.
     m_reported_revision = newest;
     UpdateConfigSync(now, *member);
   }
@@ -156,20 +158,21 @@
 void Node::OnLocalCommit(TimePoint now, const ConfigChange& change) {
   m_config_sync.OnLocalCommit(now, change);
   m_committed_revision = change.revision;
-  m_next_question = now + kQuestionPeriod;
-  m_questions_end = now + kLongestQuestions;
+  m_next_revision_query = now + kRevisionQueryPeriod;
+  m_revision_queries_end = now + kMaxRevisionQueryTime;
 }
 
-// Symptom without this: `contract write --wait` returns long after the change
-// is in force everywhere, since each member's revision reaches this node only
-// with its next heartbeat here, which in a large fleet takes minutes.
-void Node::AskForRevisions(TimePoint now) {
-  if (now < m_next_question)
+// Without these queries `contract write --wait` returns long after the change
+// is in force everywhere: the revision of each member arrives only with its
+// next heartbeat to this node, which takes minutes in a large fleet.
+void Node::QueryMemberRevisions(TimePoint now) {
+  if (now < m_next_revision_query)
     return;
   const std::size_t behind =
-      m_membership.QueryRevision(now, m_committed_revision, kMembersAsked);
-  const bool is_done = behind == 0 || now >= m_questions_end;
-  m_next_question = is_done ? TimePoint::max() : now + kQuestionPeriod;
+      m_membership.QueryRevision(now, m_committed_revision, kMembersPerQuery);
+  const bool is_done = behind == 0 || now >= m_revision_queries_end;
+  m_next_revision_query =
+      is_done ? TimePoint::max() : now + kRevisionQueryPeriod;
 }
 
 void Node::UpdateMembers(TimePoint now) {
@@ -209,7 +212,7 @@
                              const WorkspaceName& workspace,
                              const Contract* contract) {
   if (workspace.value() == kRouteDocument) {
-    TakeRouteDocument(now);
+    ApplyRouteDocument(now);
     return;
   }
   LogLine(LogLevel::kInfo, "contract.in_force")
@@ -217,7 +220,7 @@
       .Add("revision", m_contracts.revision())
       .Add("withdrawn", contract == nullptr);
   if (workspace.value() == kEvacuationWorkspace) {
-    TakeEvacuationContract(now, contract);
+    ApplyEvacuationContract(now, contract);
     return;
   }
   const auto* terms =
@@ -230,8 +233,8 @@
   m_recorder.Forget(workspace);
 }
 
-// Contracts are ordered by revision; a withdrawn one evacuates no zone.
-void Node::TakeEvacuationContract(TimePoint now, const Contract* contract) {
+// Contracts are ordered by revision; a withdrawn contract evacuates no zone.
+void Node::ApplyEvacuationContract(TimePoint now, const Contract* contract) {
   EvacuationRead read;
   read.is_complete = true;
   read.as_of.version = RowVersion(m_contracts.revision().value());
@@ -244,13 +247,14 @@
   m_evacuations.OnRead(now, read);
 }
 
-void Node::TakeRouteDocument(TimePoint now) {
+void Node::ApplyRouteDocument(TimePoint now) {
   const std::string* const text = m_contracts.RouteDocumentText();
   if (!text || !m_decoder)
     return;
   auto decoded = m_decoder->Decode(*text);
   if (const auto* fault = std::get_if<RouteDocumentFault>(&decoded)) {
-    // From a peer of a newer release. What is in force stays.
+    // The document may come from a peer with a newer release. The current
+    // configuration stays in force.
     LogLine(LogLevel::kError, "config.unreadable")
         .Add("revision", m_contracts.revision())
         .Add("fault", fault->message);
--- a/source/core/node_logic/owned_work.cc
+++ b/source/core/node_logic/owned_work.cc
@@ -1,4 +1,4 @@
-// Part of `owned_work.h`.
+// Implements `owned_work.h`.
 
 #include "core/node_logic/owned_work.h"
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-// For the log: to a hundredth.
+// Rounded to two decimals for the log.
 double Milliseconds(Duration duration) {
   return std::round(ToMilliseconds(duration) * 100) / 100;
 }
--- a/source/core/node_logic/owned_work.h
+++ b/source/core/node_logic/owned_work.h
@@ -1,5 +1,4 @@
-// A request at the owner of the target that is to run it, and the line that it
-// leaves in the log.
+// A request at the owner of its target, and its log line.
 
 #ifndef BULRUSHMOUNT_CORE_NODE_LOGIC_OWNED_WORK_H_
 #define BULRUSHMOUNT_CORE_NODE_LOGIC_OWNED_WORK_H_
@@ -19,26 +18,27 @@
   WorkHead head;
   TimePoint arrived_at;
   TimePoint deadline;
-  // From here on the target may run it.
+  // Set at the hand-over; from then on the target may run it.
   bool is_handed_over = false;
   bool is_answer_begun = false;
   int status = 0;
-  // As of the hand-over, for the log.
+  // State at the hand-over, for the log.
   TimePoint started_at;
   std::uint32_t running_at_start = 0;
   double slowdown_at_start = 1.0;
   Duration slowdown_age{};
 
-  // How the quarantine knows it.
+  // The work as the quarantine identifies it.
   AdmittedWork admitted() const { return {head.fingerprint, head.is_suspect}; }
-  // Until it was handed over, or until `now`.
+  // Time until the hand-over, or until `now` if still queued.
   Duration WaitedAt(TimePoint now) const {
     return (is_handed_over ? started_at : now) - arrived_at;
   }
 };
 
-// One line a request, with the id under which its entry logs it as well.
-// `result` is how it ended, `load` and `speed` are the target's as of now.
+// Writes one log line per request, with the same request id as at its entry.
+// `result` is how it ended; `load` and `speed` are the current values of the
+// target.
 void LogEndedWork(TimePoint now,
                   const OwnedWork& work,
                   std::string_view result,
--- a/source/core/node_logic/owner_policies.cc
+++ b/source/core/node_logic/owner_policies.cc
@@ -1,4 +1,4 @@
-// Part of `owner_policies.h`.
+// Implements `owner_policies.h`.
 
 #include "core/node_logic/owner_policies.h"
 
@@ -15,10 +15,10 @@
 namespace {
 
 // Load pattern: a service that all others call sheds or fails for some seconds,
-// and every target of every caller answers with errors. Owners that judge by
-// errors take all targets of all services out, and nothing is served, not even
-// what does not need that service; it goes on after the fault, since each
-// target is tried again only after seconds.
+// and the targets of all its callers answer with errors. Owners that react to
+// errors would take all targets of all services out of service, including those
+// for requests that do not need the failing service. The outage would outlast
+// the fault, since each target is tried again only after seconds.
 EvidenceThresholds OnlyRefusedConnections() {
   EvidenceThresholds thresholds;
   thresholds.sheds = std::numeric_limits<std::uint32_t>::max();
@@ -27,15 +27,15 @@
   return thresholds;
 }
 
-// A target that refuses connections is down; a try costs one connection on the
-// same machine.
-constexpr Duration kShortestDowntime = std::chrono::milliseconds(100);
-constexpr Duration kLongestDowntime = std::chrono::milliseconds(500);
+// A target that refuses connections is down; a trial costs one connection on
+// the same machine.
+constexpr Duration kMinDowntime = std::chrono::milliseconds(100);
+constexpr Duration kMaxDowntime = std::chrono::milliseconds(500);
 
 }  // namespace
 
-// Targets that tell their speed are believed in that; what is left to learn is
-// how they take a crowd.
+// If targets report their speed, only their concurrency limit has to be
+// learned.
 std::unique_ptr<ConcurrencyLimit> MakeConcurrencyLimit(
     const NodeSettings& settings) {
   if (settings.selective_attempts > 0 && !settings.policies.knee_limit)
@@ -58,8 +58,8 @@
   life.warmup = settings.warmup;
   if (settings.do_entries_judge_errors) {
     life.thresholds = OnlyRefusedConnections();
-    life.shortest_suspicion = kShortestDowntime;
-    life.longest_suspicion = kLongestDowntime;
+    life.shortest_suspicion = kMinDowntime;
+    life.longest_suspicion = kMaxDowntime;
   }
   return life;
 }
--- a/source/core/node_logic/owner_policies.h
+++ b/source/core/node_logic/owner_policies.h
@@ -1,5 +1,5 @@
-// How an owner judges and limits the target beside it, by what the deployment's
-// targets tell of themselves.
+// Chooses how an owner limits and evaluates its target, depending on what the
+// targets of the deployment report.
 
 #ifndef BULRUSHMOUNT_CORE_NODE_LOGIC_OWNER_POLICIES_H_
 #define BULRUSHMOUNT_CORE_NODE_LOGIC_OWNER_POLICIES_H_
@@ -13,14 +13,14 @@
 
 namespace bulrushmount::detail {
 
-// How many requests the target runs at once.
+// Limit of the requests that the target runs concurrently.
 std::unique_ptr<ConcurrencyLimit> MakeConcurrencyLimit(
     const NodeSettings& settings);
 
-// How works wait for the target.
+// How requests are queued for the target.
 AdmissionSettings AdmissionSettingsOf(const NodeSettings& settings);
 
-// What takes the target out of service, and for how long.
+// When the target is taken out of service, and for how long.
 TargetLifecycleSettings LifeSettingsOf(const NodeSettings& settings);
 
 }  // namespace bulrushmount::detail
--- a/source/core/node_logic/owner_side.cc
+++ b/source/core/node_logic/owner_side.cc
@@ -1,5 +1,5 @@
-// Part of `owner_side.h`: the requests. What the target says of itself is in
-// owner_target.cc.
+// Implements `owner_side.h`: handling of requests. Reports of the target are
+// handled in owner_target.cc.
 
 #include "core/node_logic/owner_side.h"
 
@@ -20,10 +20,10 @@
 constexpr int kFirstServerError = 500;
 
 // See NeedsLoadSample.
-constexpr Duration kFreshSampleAge = std::chrono::milliseconds(25);
+constexpr Duration kMaxSampleAge = std::chrono::milliseconds(25);
 
-// At most 20 probes a second of a target that is disturbed while works wait; a
-// disturbance ends half this later than it could be known, in the mean.
+// At most 20 probes per second of a target with interference while works wait.
+// On average the end of interference is detected half this period late.
 constexpr Duration kSpeedCheckPeriod = std::chrono::milliseconds(50);
 
 }  // namespace
@@ -46,7 +46,7 @@
       m_admission(AdmissionSettingsOf(settings),
                   MakeConcurrencyLimit(settings),
                   &m_cold_starts),
-      m_inquiry(routes, actions),
+      m_health_checker(routes, actions),
       m_needs_crash(settings.needs_crash_to_suspect),
       m_has_ranks(settings.policies.ranks) {}
 
@@ -60,11 +60,11 @@
 }
 
 void OwnerSide::OnWorkArrived(TimePoint now, const WorkArrived& event) {
-  // An id that is in use stands for the work that has it: admitted twice, it
-  // would be handed over twice.
+  // The id belongs to an existing work: a second admission would hand it over
+  // twice.
   if (m_works.contains(event.work))
     return;
-  const Reason reason = ReasonToRefuse(now, event.head);
+  const Reason reason = RefusalReason(now, event.head);
   OwnedWork work;
   work.head = event.head;
   work.arrived_at = now;
@@ -82,28 +82,28 @@
     Admit(now, event.work);
 }
 
-// A word that is older than this is not started by: of changes that come twice
-// a second, one in forty falls into it. It bounds the probes of a target to
-// forty a second, however many requests come.
+// No request is started based on a load sample older than kMaxSampleAge: with
+// two speed changes per second, one start in forty falls into that time. It
+// limits probes to 40 per second and target, independent of the request rate.
 bool OwnerSide::NeedsLoadSample(TimePoint now, const OwnedWork& work) const {
   return work.head.max_slowdown > 0 && m_speed.is_reported() &&
-         m_gate.current() && m_speed.AgeAt(now) > kFreshSampleAge;
+         m_gate.current() && m_speed.AgeAt(now) > kMaxSampleAge;
 }
 
 void OwnerSide::HoldForLoadSample(TimePoint now, WorkId id) {
-  m_inquiry.Hold(id);
-  if (!m_inquiry.AskSpeed(now, *m_gate.current()))
+  m_health_checker.Hold(id);
+  if (!m_health_checker.CheckSpeed(now, *m_gate.current()))
     ReleaseHeld(now);
 }
 
 void OwnerSide::ReleaseHeld(TimePoint now) {
-  for (const WorkId id : m_inquiry.Release()) {
+  for (const WorkId id : m_health_checker.Release()) {
     const auto found = m_works.find(id);
-    // Cancelled meanwhile.
+    // The work was cancelled meanwhile.
     if (found == m_works.end())
       continue;
     // The target may have left meanwhile.
-    const Reason reason = WhyClosed(found->second.head);
+    const Reason reason = ClosedReason(found->second.head);
     if (reason != Reason::kNone)
       RefuseAdmitted(now, id, reason);
     else
@@ -144,29 +144,30 @@
   Refuse(now, id, reason);
 }
 
-void OwnerSide::TakeLoadSample(TimePoint now, const TargetLoadSample& sample) {
+void OwnerSide::ApplyLoadSample(TimePoint now, const TargetLoadSample& sample) {
   m_speed.OnLoadSample(now, sample);
   m_admission.SetCold(m_cold_starts.IsCold(now));
   Apply(now, m_admission.SetSlowdown(now, sample.slowdown));
 }
 
-// A target may turn cold at any moment, and a restarted one tolerates few
-// requests: its health endpoint is asked again before too many were started.
-void OwnerSide::VerifyWarmth(TimePoint now) {
+// A target may turn cold at any time, and after a restart it tolerates only few
+// requests, so it is probed again before too many are started.
+void OwnerSide::VerifyWarmState(TimePoint now) {
   if (m_gate.current() && m_cold_starts.NeedsVerification(now))
-    m_inquiry.AskSpeed(now, *m_gate.current());
+    m_health_checker.CheckSpeed(now, *m_gate.current());
 }
 
-// While works wait for the target to be undisturbed, its answers are few and
-// tell late: so it is asked.
-void OwnerSide::AskSpeedWhileHolding(TimePoint now) {
+// While works wait for interference to end, the target sends few answers that
+// carry its speed, so it is probed.
+void OwnerSide::CheckSpeedWhileHolding(TimePoint now) {
   if (now >= NextSpeedCheck())
-    m_inquiry.AskSpeed(now, *m_gate.current());
+    m_health_checker.CheckSpeed(now, *m_gate.current());
 }
 
 TimePoint OwnerSide::NextSpeedCheck() const {
   const bool is_waiting = m_admission.is_holding() && m_gate.current() &&
-                          m_speed.is_reported() && !m_inquiry.IsAskingSpeed();
+                          m_speed.is_reported() &&
+                          !m_health_checker.IsCheckingSpeed();
   return is_waiting ? m_speed.reported_at() + kSpeedCheckPeriod
                     : TimePoint::max();
 }
@@ -185,7 +186,7 @@
           .wait = usual > 0 ? ToSeconds(wait) / usual : 0.0};
 }
 
-// A cold target has no use for more than its rate keeps busy.
+// A cold target is limited to the concurrency that its cold rate keeps busy.
 std::uint32_t OwnerSide::LimitAt(TimePoint now) const {
   const LoadReport report = m_admission.load();
   const Duration service_time =
@@ -241,14 +242,14 @@
   found->second.is_answer_begun = true;
   found->second.status = event.status;
   if (event.load_sample)
-    TakeLoadSample(now, *event.load_sample);
+    ApplyLoadSample(now, *event.load_sample);
   m_admission.OnAnswerBegun(now, event.work, event.status >= kFirstServerError);
   m_actions.Push(RelayWork{event.work, LoadAt(now)});
 }
 
 void OwnerSide::OnAnswerEnded(TimePoint now, WorkId id) {
   const auto found = m_works.find(id);
-  // Nothing of an answer that has not begun is with the entry.
+  // An answer that has not begun cannot be complete.
   if (found == m_works.end() || !found->second.is_answer_begun)
     return;
   const std::optional<OwnedWork> work = Take(id);
@@ -272,15 +273,15 @@
   m_actions.Push(FailWork{event.work, Reason::kTargetLost, LoadAt(now)});
   AdmissionOutput output =
       m_admission.OnEnded(now, event.work, WorkEnd::kFailed);
-  // Where one lost answer is no sign of a crash, refused connections are.
+  // If lost answers alone do not indicate a crash, refused connections do.
   if (!m_needs_crash && !IsAnyHandedOver())
     RecordCrash(now);
   Apply(now, output);
 }
 
-// Without the wait for a crash, each request that breaks off is suspect at
-// once: what its entry and others do in the meantime could take down the next
-// target. One that is innocent is cleared when it finishes alone.
+// If crashes are not awaited, each request whose exchange fails is suspect at
+// once, since a retry by its entry could crash the next target. A harmless
+// request is cleared when it completes alone.
 void OwnerSide::RecordFailure(TimePoint now, const OwnedWork& work) {
   const AdmittedWork broken = work.admitted();
   if (!m_needs_crash) {
@@ -288,11 +289,11 @@
     return;
   }
   m_quarantine.OnWorkEnded(broken);
-  m_broken.Note(now, broken);
+  m_failed_exchanges.Add(now, broken);
 }
 
 void OwnerSide::ReportCrashSuspects(TimePoint now) {
-  const std::vector<AdmittedWork> suspects = m_broken.TakeRecent(now);
+  const std::vector<AdmittedWork> suspects = m_failed_exchanges.TakeRecent(now);
   if (suspects.empty())
     return;
   LogLine(LogLevel::kWarning, "target.crash_suspects")
@@ -300,13 +301,13 @@
   m_quarantine.SuspectEndedWorks(now, suspects);
 }
 
-// The zone's targets may have turned cold meanwhile: asked at once, they need
-// not learn it from the first requests.
+// Targets of the zone may have turned cold during the evacuation. A probe finds
+// out before the first requests are started.
 void OwnerSide::OnEvacuationsChanged(TimePoint now) {
-  const bool has_returned = !m_is_admitting && WhyClosed() == Reason::kNone;
+  const bool has_returned = !m_is_admitting && ClosedReason() == Reason::kNone;
   SyncAdmission(now);
   if (has_returned && m_gate.current() && m_cold_starts.is_limited())
-    m_inquiry.AskSpeed(now, *m_gate.current());
+    m_health_checker.CheckSpeed(now, *m_gate.current());
 }
 
 void OwnerSide::Drain(TimePoint now) {
@@ -320,8 +321,8 @@
     m_life.OnTimer(now);
   SyncAdmission(now);
   Apply(now, m_admission.OnTimer(now));
-  AskSpeedWhileHolding(now);
-  VerifyWarmth(now);
+  CheckSpeedWhileHolding(now);
+  VerifyWarmState(now);
 }
 
 TimePoint OwnerSide::NextWakeup() const {
@@ -333,7 +334,7 @@
   return next;
 }
 
-Reason OwnerSide::WhyClosed() const {
+Reason OwnerSide::ClosedReason() const {
   if (m_is_leaving || m_life.state() == TargetState::kDraining)
     return Reason::kDraining;
   if (!m_evacuations.is_known())
@@ -343,8 +344,8 @@
   return Reason::kNone;
 }
 
-Reason OwnerSide::WhyClosed(const WorkHead& head) const {
-  if (const Reason reason = WhyClosed(); reason != Reason::kNone)
+Reason OwnerSide::ClosedReason(const WorkHead& head) const {
+  if (const Reason reason = ClosedReason(); reason != Reason::kNone)
     return reason;
   if (!m_life.IsServing() || !m_announced ||
       m_announced->service != head.service)
@@ -352,13 +353,14 @@
   return Reason::kNone;
 }
 
-Reason OwnerSide::ReasonToRefuse(TimePoint now, const WorkHead& head) {
+Reason OwnerSide::RefusalReason(TimePoint now, const WorkHead& head) {
   if (m_is_leaving || m_life.state() == TargetState::kDraining)
     return Reason::kDraining;
-  // What crashes targets is not known yet to a node that is new or was stopped.
+  // A node that has just started or was paused has not yet received the
+  // quarantine records.
   if (!m_quarantine.IsCaughtUp())
     return Reason::kConfigurationUnknown;
-  const Reason closed = WhyClosed(head);
+  const Reason closed = ClosedReason(head);
   if (closed != Reason::kNone)
     return closed;
   if (head.time_left <= Duration::zero())
@@ -383,7 +385,7 @@
     work.slowdown_age = m_speed.AgeAt(now);
     m_actions.Push(HandToTarget{id, work.deadline - now, m_instance});
   }
-  VerifyWarmth(now);
+  VerifyWarmState(now);
 }
 
 void OwnerSide::Refuse(TimePoint now, WorkId work, Reason reason) {
@@ -422,8 +424,8 @@
   return Take(id);
 }
 
-// The last exchange with the target has broken off, and none has ended well
-// since: the target is taken for crashed until it says otherwise.
+// All exchanges with the target have failed and none has completed since: the
+// target counts as crashed until its next report.
 void OwnerSide::RecordCrash(TimePoint now) {
   m_life.OnCrashed(now);
   LogLine(LogLevel::kWarning, "target.crashed")
@@ -439,12 +441,12 @@
 
 void OwnerSide::CheckAnnouncements(TimePoint now) {
   while (m_life.state() != TargetState::kGone &&
-         m_announcements.TakeMissed(now))
+         m_announcements.ConsumeMissed(now))
     m_life.OnAnnouncementMissed(now);
 }
 
 void OwnerSide::SyncAdmission(TimePoint now) {
-  const Reason closed = WhyClosed();
+  const Reason closed = ClosedReason();
   const bool should_admit =
       closed == Reason::kNone && m_announced && m_life.IsServing();
   if (should_admit == m_is_admitting)
--- a/source/core/node_logic/owner_side.h
+++ b/source/core/node_logic/owner_side.h
@@ -1,5 +1,5 @@
-// A node as the owner of the target beside it: every request that the target
-// runs passes here, so its load is known exactly.
+// The owner role of a node: it admits, queues and hands over all requests of
+// the local target, so its load is known exactly.
 
 #ifndef BULRUSHMOUNT_CORE_NODE_LOGIC_OWNER_SIDE_H_
 #define BULRUSHMOUNT_CORE_NODE_LOGIC_OWNER_SIDE_H_
@@ -37,7 +37,7 @@
 
 class OwnerSide {
  public:
-  // All but the settings must outlive the object.
+  // All arguments except the settings must outlive the object.
   OwnerSide(const NodeSettings& settings,
             const RouteTable& routes,
             const EvacuationTable& evacuations,
@@ -57,20 +57,20 @@
   void OnWithdrawn(TimePoint now);
   void OnProbe(TimePoint now, bool is_healthy);
 
-  // Of targets that are known by an id.
+  // For targets with an id.
   void OnHeartbeat(TimePoint now, const TargetHeartbeat& heartbeat);
   void OnDeparted(TimePoint now, const TargetDeparted& event);
   void OnReportRefused(TimePoint now, const TargetReportRefused& event);
-  // False if the probe is none of this object's.
+  // False if the probe was not sent by this object.
   bool OnOwnProbe(TimePoint now, const ProbeAnswered& event);
   bool OnOwnProbe(TimePoint now, const ProbeFailed& event);
   // The routing document has changed.
   void OnRoutesChanged(TimePoint now);
 
-  // The availability zones that are evacuated have changed, or are known now.
+  // The set of evacuated availability zones has changed or has become known.
   void OnEvacuationsChanged(TimePoint now);
 
-  // The node leaves: no new work, what runs goes on.
+  // The node leaves: no new requests are accepted, running ones continue.
   void Drain(TimePoint now);
 
   void OnTimer(TimePoint now);
@@ -79,49 +79,49 @@
   bool is_leaving() const { return m_is_leaving; }
   const TargetLifecycle& life() const { return m_life; }
   LoadReport LoadAt(TimePoint now) const;
-  // Where the target is reached; empty before its first announcement.
+  // Endpoint of the target; empty before its first announcement.
   const std::optional<Endpoint>& endpoint() const { return m_endpoint; }
   std::size_t size() const { return m_works.size(); }
 
  private:
-  // Whether the target's word of its speed is too old to start a request by.
+  // Whether the last load sample of the target is too old to start a request.
   bool NeedsLoadSample(TimePoint now, const OwnedWork& work) const;
   void HoldForLoadSample(TimePoint now, WorkId id);
   void ReleaseHeld(TimePoint now);
-  // The target's speed is as known as it gets.
+  // Admits a work once the load sample is current or cannot be obtained.
   void Admit(TimePoint now, WorkId id);
   Rank RankOf(const WorkHead& head) const {
     return m_has_ranks ? head.priority : 0;
   }
   StartConditions Conditions(TimePoint now) const;
-  // Requests that the target may run at once.
+  // Limit of requests that the target may run concurrently.
   std::uint32_t LimitAt(TimePoint now) const;
-  // As a request of this rank meets them.
+  // Start conditions for a request of this rank.
   StartConditions ConditionsOf(TimePoint now, Rank rank) const;
-  void TakeColdReport(TimePoint now, const ProbeAnswered& event);
-  void VerifyWarmth(TimePoint now);
-  void TakeLoadSample(TimePoint now, const TargetLoadSample& sample);
-  void AskSpeedWhileHolding(TimePoint now);
+  void ApplyColdReport(TimePoint now, const ProbeAnswered& event);
+  void VerifyWarmState(TimePoint now);
+  void ApplyLoadSample(TimePoint now, const TargetLoadSample& sample);
+  void CheckSpeedWhileHolding(TimePoint now);
   TimePoint NextSpeedCheck() const;
   void RefuseAdmitted(TimePoint now, WorkId id, Reason reason);
-  // kNone while the target takes work of that service.
-  Reason WhyClosed(const WorkHead& head) const;
-  // The same, whatever the service.
-  Reason WhyClosed() const;
+  // Why requests of this service are refused; kNone if they are accepted.
+  Reason ClosedReason(const WorkHead& head) const;
+  // The same, independent of the service.
+  Reason ClosedReason() const;
 
-  Reason ReasonToRefuse(TimePoint now, const WorkHead& head);
+  Reason RefusalReason(TimePoint now, const WorkHead& head);
   void Apply(TimePoint now, const AdmissionOutput& output);
   void Refuse(TimePoint now, WorkId work, Reason reason);
   void EndNotRun(TimePoint now,
                  WorkId work,
                  Reason reason,
                  RequestResult result);
-  // Takes the work out; empty if it has ended already.
+  // Removes and returns the work; empty if it has already ended.
   std::optional<OwnedWork> Take(WorkId work);
-  // Also empty if the target has not been handed the work. A work that is still
-  // queued must stay: the admission will start it.
+  // Like Take, but empty if the work was not handed over: a queued work must
+  // stay, since the admission will start it.
   std::optional<OwnedWork> TakeHandedOver(WorkId work);
-  // Into the log and the metrics.
+  // Writes the end of a work to the log and the metrics.
   void RecordEnd(TimePoint now,
                  const OwnedWork& work,
                  std::string_view result) const;
@@ -149,21 +149,21 @@
   std::optional<TargetAnnounced> m_announced;
   RefusedReports m_refused_reports;
   bool m_is_leaving = false;
-  // Whether the admission was told to take work.
+  // Whether the admission currently accepts requests.
   bool m_is_admitting = false;
 
   TargetSpeed m_speed;
-  TargetInquiry m_inquiry;
+  TargetHealthChecker m_health_checker;
   TargetGate m_gate;
-  // Stands in for the incarnation of targets that are known by an id: one more
-  // at each that the gate lets in.
-  std::uint64_t m_ordinal = 0;
+  // Used as the incarnation of targets with an id: incremented at each new
+  // process that the gate admits.
+  std::uint64_t m_replacement_count = 0;
   InstanceId m_instance;
   std::optional<ProcessStart> m_process_started;
-  // The operator's ranks of routes count.
+  // Whether the priorities of routes are applied.
   bool m_has_ranks = true;
   bool m_needs_crash = false;
-  FailedExchanges m_broken;
+  FailedExchanges m_failed_exchanges;
 
   AnnouncementWatch m_announcements;
 };
--- a/source/core/node_logic/owner_target.cc
+++ b/source/core/node_logic/owner_target.cc
@@ -1,5 +1,5 @@
-// Part of `owner_side.h`: what the target beside the node says of itself, and
-// what follows for the requests that it may have.
+// Implements `owner_side.h`: reports of the local target and their effect on
+// its requests.
 
 #include "core/common/logging.h"
 #include "core/node_logic/owner_side.h"
@@ -34,9 +34,9 @@
 }
 
 void OwnerSide::OnHeartbeat(TimePoint now, const TargetHeartbeat& heartbeat) {
-  // What goes wrong otherwise: two such words would take the place of the
-  // target that is there, which closes that for good. A target that drains is
-  // heard whatever its service: its leaving is acknowledged.
+  // Otherwise two reports of another target would replace the current one and
+  // close its gate permanently. A draining target is accepted whatever its
+  // service, so that its leave is acknowledged.
   const bool is_known_service =
       !m_routes.is_known() || m_routes.FindService(heartbeat.service);
   if (!is_known_service && heartbeat.readiness == TargetReadiness::kReady) {
@@ -68,12 +68,12 @@
 }
 
 bool OwnerSide::OnOwnProbe(TimePoint now, const ProbeAnswered& event) {
-  if (!TargetInquiry::IsOwn(event.probe))
+  if (!TargetHealthChecker::IsOwn(event.probe))
     return false;
-  TakeColdReport(now, event);
+  ApplyColdReport(now, event);
   if (event.load_sample)
-    TakeLoadSample(now, *event.load_sample);
-  if (m_inquiry.IsSpeedProbe(event.probe)) {
+    ApplyLoadSample(now, *event.load_sample);
+  if (m_health_checker.IsSpeedProbe(event.probe)) {
     ReleaseHeld(now);
     return true;
   }
@@ -84,7 +84,7 @@
   return true;
 }
 
-void OwnerSide::TakeColdReport(TimePoint now, const ProbeAnswered& event) {
+void OwnerSide::ApplyColdReport(TimePoint now, const ProbeAnswered& event) {
   const bool is_of_current =
       event.instance.value().empty() || event.instance == m_instance;
   if (!is_of_current || !m_cold_starts.is_limited())
@@ -101,15 +101,15 @@
         .Add("instance", m_instance)
         .Add("cold_ms", ToMilliseconds(*event.cold_time_left));
   }
-  // Its warmth lets works start that wait.
+  // Queued works may start if the target is now warm.
   Apply(now, m_admission.OnTimer(now));
 }
 
 bool OwnerSide::OnOwnProbe(TimePoint now, const ProbeFailed& event) {
-  if (!TargetInquiry::IsOwn(event.probe))
+  if (!TargetHealthChecker::IsOwn(event.probe))
     return false;
   m_cold_starts.OnVerificationFailed(now);
-  if (m_inquiry.IsSpeedProbe(event.probe)) {
+  if (m_health_checker.IsSpeedProbe(event.probe)) {
     ReleaseHeld(now);
     return true;
   }
@@ -121,7 +121,7 @@
 void OwnerSide::OnRoutesChanged(TimePoint now) {
   SyncColdRate();
   if (m_gate.candidate())
-    m_inquiry.AskHealth(now, *m_gate.candidate());
+    m_health_checker.CheckHealth(now, *m_gate.candidate());
 }
 
 void OwnerSide::ApplyVerdict(TimePoint now, GateAction verdict) {
@@ -129,7 +129,7 @@
     case GateAction::kNone:
       return;
     case GateAction::kProbe:
-      m_inquiry.AskHealth(now, *m_gate.candidate());
+      m_health_checker.CheckHealth(now, *m_gate.candidate());
       return;
     case GateAction::kOpen:
       OpenGate(now);
@@ -148,11 +148,12 @@
                              heartbeat.started != m_process_started;
   const bool is_new = heartbeat.instance != m_instance || has_restarted;
   if (is_new) {
-    // The one before it is gone: what broke off at it may have been its end.
+    // The previous process is gone: exchanges that failed there may have
+    // crashed it.
     ReportCrashSuspects(now);
     m_instance = heartbeat.instance;
     m_process_started.reset();
-    ++m_ordinal;
+    ++m_replacement_count;
     m_cold_starts.OnReplaced(now);
     LogLine(LogLevel::kInfo, "target.gate_opened")
         .Add("instance", m_instance)
@@ -171,7 +172,7 @@
   announced.endpoint = heartbeat.endpoint;
   announced.slots = heartbeat.slots;
   announced.connections = profile ? profile->max_connections : heartbeat.slots;
-  announced.incarnation = Incarnation(m_ordinal);
+  announced.incarnation = Incarnation(m_replacement_count);
   announced.cold_time_left = heartbeat.cold_time_left;
   SyncColdRate();
   OnAnnounced(now, announced);
--- a/source/core/node_logic/policy_switches.h
+++ b/source/core/node_logic/policy_switches.h
@@ -1,5 +1,5 @@
-// Switches of the mechanisms that placement under load rests on. All are on; an
-// operator turns one off to learn what it is worth on the own fleet.
+// Switches of the mechanisms for placing requests under load. All are on by
+// default; an operator turns one off to measure its effect on a fleet.
 
 #ifndef BULRUSHMOUNT_CORE_NODE_LOGIC_POLICY_SWITCHES_H_
 #define BULRUSHMOUNT_CORE_NODE_LOGIC_POLICY_SWITCHES_H_
@@ -7,28 +7,30 @@
 namespace bulrushmount {
 
 struct PolicySwitches {
-  // Targets are kept below the load from which on they slow down.
+  // Limits the concurrency of a target to the knee of its load curve, above
+  // which it slows down.
   bool knee_limit = true;
-  // Nothing starts on a target while it is disturbed.
+  // Starts no request on a target while it is slowed down by interference.
   bool hold_disturbed = true;
-  // Entries ask further owners for a start that is not slow.
+  // Entries try further owners for a fast start.
   bool selective_starts = true;
-  // What is hardly worse than the best that owners told is accepted.
+  // Entries accept a start that is close to the best that owners reported.
   bool best_reported_starts = true;
-  // Callers that have come back are told from new ones.
+  // Distinguishes retries of callers from first attempts.
   bool retry_detector = true;
-  // What may be late goes behind what likely is not.
+  // Queues requests that may miss their objective behind those that probably
+  // meet it.
   bool likely_times = true;
-  // Works wait by the operator's ranks.
+  // Queues requests by the priorities that the operator gave to routes.
   bool ranks = true;
-  // What may be repeated leaves an owner's node that has fallen silent.
+  // Retries repeatable requests elsewhere if the owner stops responding.
   bool leave_silent = true;
-  // Refused callers are told to come back when room is likely, each at another
-  // time.
+  // Sends refused callers a jittered Retry-After at which capacity is likely to
+  // be free.
   bool retry_after = true;
-  // Calls that owners would refuse for want of room are refused at their entry.
+  // Refuses calls at their entry that owners would refuse for lack of capacity.
   bool throttle = true;
-  // Entries ask fewer owners for a call where most of them refuse.
+  // Entries try fewer owners per call when most of them refuse.
   bool ask_budget = true;
 
   friend bool operator==(const PolicySwitches&,
--- a/source/core/node_logic/ports.cc
+++ b/source/core/node_logic/ports.cc
@@ -1,4 +1,4 @@
-// Part of `ports.h`.
+// Implements `ports.h`.
 
 #include "core/node_logic/ports.h"
 
--- a/source/core/node_logic/ports.h
+++ b/source/core/node_logic/ports.h
@@ -1,5 +1,5 @@
-// The ports that the decision modules get as arguments, implemented by emitting
-// actions.
+// Adapters through which the decision modules perform I/O: each call emits an
+// action.
 
 #ifndef BULRUSHMOUNT_CORE_NODE_LOGIC_PORTS_H_
 #define BULRUSHMOUNT_CORE_NODE_LOGIC_PORTS_H_
@@ -39,7 +39,7 @@
 
   void Submit(TableRequest request, Callback callback) override;
 
-  // The reply to an action; unknown ids are ignored.
+  // Completes the request with this id; unknown ids are ignored.
   void OnReply(TimePoint now, TableRequestId id, TableReply reply);
 
  private:
@@ -60,13 +60,13 @@
   ActionSink& m_actions;
 };
 
-// Carries the quarantine's news by the membership's gossip.
+// Sends broadcasts of the quarantine with the gossip of the membership.
 class GossipBroadcasts : public BroadcastPort {
  public:
   static constexpr BroadcastKind kQuarantineKind{1};
 
-  // Both must outlive the object. `event_time` is the time of the event that is
-  // being handled: the port's interface carries none.
+  // Both must outlive the object. `event_time` is the time of the event being
+  // handled, since the interface of the port carries no time.
   GossipBroadcasts(Membership& membership, const TimePoint& event_time)
       : m_membership(membership), m_event_time(event_time) {}
 
--- a/source/core/node_logic/target_inquiry.cc
+++ b/source/core/node_logic/target_inquiry.cc
@@ -1,4 +1,4 @@
-// Part of `target_inquiry.h`.
+// Implements `target_health_checker.h`.
 
 #include "core/node_logic/target_inquiry.h"
 
@@ -11,52 +11,55 @@
 
 namespace {
 
-// Marks the probes of this object among those of the measuring budget.
-constexpr std::uint64_t kOwnProbes = std::uint64_t{1} << 63;
+// Distinguishes the probes of this object from those of the measuring budget.
+constexpr std::uint64_t kOwnProbeFlag = std::uint64_t{1} << 63;
 
-// A target on the same machine answers a probe in milliseconds; one that does
-// not is left to its next heartbeat.
+// A target on the same machine answers a probe within milliseconds; one that
+// does not is probed again at its next heartbeat.
 constexpr Duration kHealthTimeout = std::chrono::milliseconds(300);
 
-// A health endpoint on the same machine answers in one to six milliseconds. A
-// request waits no longer than this for it, and then goes by what is known.
+// A health endpoint on the same machine answers within 1 to 6 ms. A request
+// waits at most this long, then the last known speed is used.
 constexpr Duration kSpeedTimeout = std::chrono::milliseconds(20);
 
 }  // namespace
 
-bool TargetInquiry::IsOwn(ProbeId probe) {
-  return (probe.value() & kOwnProbes) != 0;
+bool TargetHealthChecker::IsOwn(ProbeId probe) {
+  return (probe.value() & kOwnProbeFlag) != 0;
 }
 
-void TargetInquiry::AskHealth(TimePoint now, const TargetHeartbeat& target) {
+void TargetHealthChecker::CheckHealth(TimePoint now,
+                                      const TargetHeartbeat& target) {
   Send(now, target, kHealthTimeout);
 }
 
-bool TargetInquiry::AskSpeed(TimePoint now, const TargetHeartbeat& target) {
+bool TargetHealthChecker::CheckSpeed(TimePoint now,
+                                     const TargetHeartbeat& target) {
   if (!m_speed_probe)
     m_speed_probe = Send(now, target, kSpeedTimeout);
-  return IsAskingSpeed();
+  return IsCheckingSpeed();
 }
 
-std::vector<WorkId> TargetInquiry::Release() {
+std::vector<WorkId> TargetHealthChecker::Release() {
   m_speed_probe.reset();
   return std::exchange(m_held, {});
 }
 
-// Symptom without a path: the probe would ask for a page that the target does
-// not have, and a sound target would look unhealthy until its next heartbeat.
-std::optional<ProbeId> TargetInquiry::Send(TimePoint now,
-                                           const TargetHeartbeat& target,
-                                           Duration patience) {
+// Without a configured path the probe would request a page that the target does
+// not have, and a healthy target would count as unhealthy until its next
+// heartbeat.
+std::optional<ProbeId> TargetHealthChecker::Send(TimePoint now,
+                                                 const TargetHeartbeat& target,
+                                                 Duration timeout) {
   const ServiceProfile* const profile = m_routes.FindService(target.service);
   if (!profile)
     return std::nullopt;
   SendProbe probe;
-  probe.probe = ProbeId(kOwnProbes | ++m_last_probe);
+  probe.probe = ProbeId(kOwnProbeFlag | ++m_last_probe);
   probe.endpoint = target.endpoint;
   probe.path = profile->health_path;
-  probe.valid_until = now + patience;
-  probe.gives_up_at = now + patience;
+  probe.valid_until = now + timeout;
+  probe.gives_up_at = now + timeout;
   const ProbeId id = probe.probe;
   m_actions.Push(std::move(probe));
   return id;
--- a/source/core/node_logic/target_inquiry.h
+++ b/source/core/node_logic/target_inquiry.h
@@ -1,6 +1,6 @@
-// Asks the target beside a node how it is, by its health path: whether one that
-// has reported may be let in, and how fast it is where a request's start hangs
-// on that. Works that wait for such an answer are kept here.
+// Probes the health endpoint of the local target: whether a target that has
+// reported may be admitted, and how fast it currently is. Holds the works that
+// wait for a speed probe.
 
 #ifndef BULRUSHMOUNT_CORE_NODE_LOGIC_TARGET_INQUIRY_H_
 #define BULRUSHMOUNT_CORE_NODE_LOGIC_TARGET_INQUIRY_H_
@@ -17,41 +17,41 @@
 
 namespace bulrushmount::detail {
 
-class TargetInquiry {
+class TargetHealthChecker {
  public:
   // Both must outlive the object.
-  TargetInquiry(const RouteTable& routes, ActionSink& actions)
+  TargetHealthChecker(const RouteTable& routes, ActionSink& actions)
       : m_routes(routes), m_actions(actions) {}
 
-  // Whether the probe is one of this object's; others have the ids of the
-  // measuring budget.
+  // Whether the probe was sent by this object; probes of the measuring budget
+  // use other ids.
   static bool IsOwn(ProbeId probe);
 
-  // Whether the target can serve.
-  void AskHealth(TimePoint now, const TargetHeartbeat& target);
-  // How fast it is; nothing while that question is open. False if it cannot be
-  // asked, since its health path is unknown.
-  bool AskSpeed(TimePoint now, const TargetHeartbeat& target);
-  bool IsAskingSpeed() const { return m_speed_probe.has_value(); }
-  // The answer to AskSpeed has come, or will not.
+  // Probes whether the target can serve.
+  void CheckHealth(TimePoint now, const TargetHeartbeat& target);
+  // Probes the speed of the target, unless such a probe is pending. False if
+  // the health path is unknown, so that no probe can be sent.
+  bool CheckSpeed(TimePoint now, const TargetHeartbeat& target);
+  bool IsCheckingSpeed() const { return m_speed_probe.has_value(); }
+  // Whether this is the pending speed probe.
   bool IsSpeedProbe(ProbeId probe) const { return probe == m_speed_probe; }
 
-  // The work waits for the answer to AskSpeed.
+  // Holds the work until the speed probe ends.
   void Hold(WorkId work) { m_held.push_back(work); }
-  // Ends the question and returns what waited for it.
+  // Ends the speed probe and returns the works that it held.
   std::vector<WorkId> Release();
 
  private:
-  // The id of the probe; empty if the target's health path is unknown.
+  // Returns the id of the probe; empty if the health path is unknown.
   std::optional<ProbeId> Send(TimePoint now,
                               const TargetHeartbeat& target,
-                              Duration patience);
+                              Duration timeout);
 
   const RouteTable& m_routes;
   ActionSink& m_actions;
   std::uint64_t m_last_probe = 0;
   std::optional<ProbeId> m_speed_probe;
-  // Empty without m_speed_probe.
+  // Empty unless m_speed_probe is set.
   std::vector<WorkId> m_held;
 };
 
--- a/source/core/pipeline/dispatcher.cc
+++ b/source/core/pipeline/dispatcher.cc
@@ -331,7 +331,7 @@
 
 double Dispatcher::AcceptableSlowdown(TimePoint now, const Call& call) const {
   const std::size_t enough =
-      m_settings.accepts_hardly_worse
+      m_settings.accepts_near_best
           ? std::min<std::size_t>(m_parts.router.TargetsOf(call.head.service),
                                   m_settings.selective_attempts)
           : std::numeric_limits<std::size_t>::max();
--- a/source/core/pipeline/dispatcher.h
+++ b/source/core/pipeline/dispatcher.h
@@ -54,7 +54,7 @@
   // round trip.
   std::uint32_t selective_attempts = 0;
   // See PolicySwitches.
-  bool accepts_hardly_worse = true;
+  bool accepts_near_best = true;
   bool leaves_silent_owners = true;
   // Limits the attempts per call when most owners refuse; see AskBudget.
   bool bounds_refusals = false;
--- a/source/unit_tests/core/node_logic/cold_fleet_test.cc
+++ b/source/unit_tests/core/node_logic/cold_fleet_test.cc
@@ -1,10 +1,10 @@
-// Whole nodes whose targets are all cold.
+// Tests fleets in which all targets are cold.
 //
-// Load pattern: all machines lose power and come back. Each target is cold for
-// some seconds and tolerates a part of its usual load; the load of the whole
-// service comes at once. Without a bound on the rate the targets that are up
-// are flooded, crash and start again cold, and the service stays down for as
-// long as the load lasts.
+// Load pattern: all machines lose power and restart. Each target is cold for
+// some seconds and tolerates only part of its usual load, but the full load of
+// the service arrives at once. Without a rate limit the running targets are
+// overloaded, crash and start cold again, and the service stays down as long as
+// the load lasts.
 
 #include <chrono>
 #include <cmath>
@@ -34,8 +34,8 @@
 constexpr std::size_t kCallerNodes = 13;
 constexpr double kCallsPerSecond = 593;
 constexpr double kColdRate = 11;
-// Requests that a cold target tolerates in any second; it crashes above.
-constexpr std::size_t kTolerated = 24;
+// Requests per second that a cold target tolerates; it crashes above that.
+constexpr std::size_t kMaxColdRequestsPerSecond = 24;
 
 RouteConfig Routes() {
   Route lookup;
@@ -54,7 +54,7 @@
   return config;
 }
 
-class OneDocument : public RouteDocumentDecoder {
+class FixedDocumentDecoder : public RouteDocumentDecoder {
  public:
   std::variant<RouteDocument, RouteDocumentFault> Decode(
       std::string_view) const override {
@@ -80,7 +80,7 @@
     options.decoder = &decoder;
     options.document = "1";
     options.cold.emplace();
-    options.cold->crash_above = kTolerated;
+    options.cold->crash_above = kMaxColdRequestsPerSecond;
     options.settings.has_route_document = true;
     options.settings.needs_crash_to_suspect = true;
     options.settings.do_entries_judge_errors = true;
@@ -104,7 +104,7 @@
     }
   }
 
-  // Of the requests sent in [from, to), the share that was answered.
+  // Share of the requests sent in [from, to) that was answered.
   double Answered(TimePoint from, TimePoint to) const {
     std::size_t sent = 0;
     std::size_t answered = 0;
@@ -117,13 +117,14 @@
     return static_cast<double>(answered) / static_cast<double>(sent);
   }
 
-  OneDocument m_decoder;
+  FixedDocumentDecoder m_decoder;
   Fleet m_fleet;
   SeededRandomSource m_random;
 };
 
-// Guards against crash loops of cold targets after a loss of power of all.
-TEST_F(ColdFleetTest, RecoversFromALossOfPowerOfAll) {
+// Guards against crash loops of cold targets after a power loss of the whole
+// fleet.
+TEST_F(ColdFleetTest, RecoversFromAFleetWidePowerLoss) {
   Load(1s);
   m_fleet.PowerOffAll(1s);
   m_fleet.Run(1s);
@@ -131,23 +132,23 @@
   Load(9s);
   m_fleet.Run(1s);
   EXPECT_EQ(m_fleet.crashes(), 0U);
-  EXPECT_LE(m_fleet.most_at_a_cold_target(), kTolerated);
+  EXPECT_LE(m_fleet.max_rate_at_cold_target(), kMaxColdRequestsPerSecond);
   EXPECT_GE(Answered(back + 6s, back + 8s), 0.95);
 }
 
 // Guards against targets that turn cold between two heartbeats.
-TEST_F(ColdFleetTest, BearsTargetsThatTurnColdAtAnyMoment) {
+TEST_F(ColdFleetTest, ToleratesTargetsThatTurnColdAtAnyTime) {
   for (int turn = 0; turn < 6; ++turn) {
     Load(1700ms);
     m_fleet.CoolDown("zone-" + std::to_string(turn % 4));
   }
   Load(1s);
   EXPECT_EQ(m_fleet.crashes(), 0U);
-  EXPECT_LE(m_fleet.most_at_a_cold_target(), kTolerated);
+  EXPECT_LE(m_fleet.max_rate_at_cold_target(), kMaxColdRequestsPerSecond);
 }
 
-// Guards against a flood when an evacuated zone comes back with cold targets.
-TEST_F(ColdFleetTest, TakesAnEvacuatedZoneBackWithoutAFlood) {
+// Guards against overload when an evacuated zone returns with cold targets.
+TEST_F(ColdFleetTest, ReturnsAnEvacuatedZoneWithoutOverload) {
   Load(1s);
   m_fleet.SetEvacuated("zone-1", true);
   Load(4s);
@@ -157,13 +158,13 @@
   Load(6s);
   m_fleet.Run(1s);
   EXPECT_EQ(m_fleet.crashes(), 0U);
-  EXPECT_LE(m_fleet.most_at_a_cold_target(), kTolerated);
+  EXPECT_LE(m_fleet.max_rate_at_cold_target(), kMaxColdRequestsPerSecond);
   EXPECT_GE(Answered(back + 4s, back + 6s), 0.95);
 }
 
-// Guards against an owner that starts anew and does not know what its
-// predecessor has handed to a cold target.
-TEST_F(ColdFleetTest, RestartedOwnersDoNotFloodColdTargets) {
+// Guards against a restarted owner that does not know which requests its
+// predecessor handed to a cold target.
+TEST_F(ColdFleetTest, RestartedOwnersDoNotOverloadColdTargets) {
   Load(1s);
   m_fleet.CoolDown("zone-0");
   Load(500ms);
@@ -171,7 +172,7 @@
     m_fleet.Kill(node);
   Load(4s);
   EXPECT_EQ(m_fleet.crashes(), 0U);
-  EXPECT_LE(m_fleet.most_at_a_cold_target(), kTolerated);
+  EXPECT_LE(m_fleet.max_rate_at_cold_target(), kMaxColdRequestsPerSecond);
 }
 
 }  // namespace
--- a/source/unit_tests/core/node_logic/evacuation_test.cc
+++ b/source/unit_tests/core/node_logic/evacuation_test.cc
@@ -1,4 +1,4 @@
-// Whole nodes while availability zones are evacuated and taken back.
+// Tests fleets whose availability zones are evacuated and returned to service.
 
 #include <chrono>
 #include <cstddef>
@@ -26,7 +26,8 @@
 constexpr char kZone[] = "zone-1";
 constexpr std::size_t kZoneIndex = 1;
 
-// In force at nodes that reach the table or a peer that does.
+// Time after which a change is in force at nodes that reach the table or a peer
+// that does.
 constexpr Duration kInForce = 1s;
 
 RouteConfig Routes() {
@@ -45,7 +46,7 @@
   return config;
 }
 
-// The document's text is its revision.
+// Decodes a document whose text is its revision number.
 class NumberDecoder : public RouteDocumentDecoder {
  public:
   std::variant<RouteDocument, RouteDocumentFault> Decode(
@@ -74,7 +75,7 @@
 
   static bool IsInZone(std::size_t node) { return node % kZones == kZoneIndex; }
 
-  // Callers at all nodes send requests for so long.
+  // Sends requests at all nodes for `time`.
   void Load(Duration time) {
     for (const TimePoint end = m_fleet.now() + time; m_fleet.now() < end;) {
       CallHead head = m_fleet.MakeHead("", "GET", "/read/1");
@@ -84,7 +85,7 @@
     }
   }
 
-  // Targets of the zone that were handed a request later than `time`.
+  // Number of targets of the zone that received a request after `time`.
   std::size_t ServedInZoneAfter(TimePoint time) const {
     std::size_t served = 0;
     for (std::size_t node = 0; node < kNodes; ++node) {
@@ -94,7 +95,7 @@
     return served;
   }
 
-  // Of the requests sent since then, the share that was answered.
+  // Share of the requests sent since `time` that was answered.
   double AnsweredSince(TimePoint time) const {
     std::size_t sent = 0;
     std::size_t answered = 0;
@@ -130,7 +131,8 @@
   EXPECT_EQ(ServedInZoneAfter(ended), kNodes / kZones);
 }
 
-// Guards against a restarted node that serves before it knows the evacuations.
+// Guards against a restarted node that serves before it has loaded the
+// evacuations.
 TEST_F(EvacuationTest, ARestartedNodeServesNothingInAnEvacuatedZone) {
   m_fleet.SetEvacuated(kZone, true);
   m_fleet.Run(kInForce);
@@ -143,8 +145,8 @@
   EXPECT_EQ(ServedInZoneAfter(begun), 0U);
 }
 
-// The same while the table is away: peers report the evacuations.
-TEST_F(EvacuationTest, ARestartedNodeLearnsItFromPeersWhileTheTableIsAway) {
+// The same during an outage of the table: peers report the evacuations.
+TEST_F(EvacuationTest, ARestartedNodeLoadsItFromPeersDuringATableOutage) {
   m_fleet.SetEvacuated(kZone, true);
   m_fleet.Run(kInForce);
   const TimePoint begun = m_fleet.now();
@@ -158,7 +160,7 @@
     EXPECT_TRUE(m_fleet.logic(node).IsReady()) << node;
 }
 
-// Guards against a change that the nodes which the table turns away miss.
+// Guards against a change that is missed by nodes that the table refuses.
 TEST_F(EvacuationTest, IsInForceAtNodesThatCannotReachTheTable) {
   for (std::size_t node = 0; node < kNodes; node += 3)
     m_fleet.RefuseAtTable(node, true);
@@ -169,7 +171,7 @@
   EXPECT_EQ(ServedInZoneAfter(begun + kInForce), 0U);
 }
 
-// Guards against watchers that are killed while the change is on its way.
+// Guards against watchers that are killed while the change is distributed.
 TEST_F(EvacuationTest, IsInForceAlthoughHalfOfTheNodesAreKilledMeanwhile) {
   m_fleet.SetEvacuated(kZone, true);
   const TimePoint begun = m_fleet.now();
@@ -180,8 +182,8 @@
   EXPECT_EQ(ServedInZoneAfter(begun + 5s), 0U);
 }
 
-// Guards against nodes that miss the change while they are cut off.
-TEST_F(EvacuationTest, ANodeThatWasCutOffLearnsItWhenItIsBack) {
+// Guards against nodes that miss the change while they are disconnected.
+TEST_F(EvacuationTest, ADisconnectedNodeReceivesItAfterReconnecting) {
   constexpr std::size_t node = kZoneIndex;
   m_fleet.CutGossip(node, true);
   m_fleet.RefuseAtTable(node, true);
@@ -194,7 +196,7 @@
   EXPECT_EQ(ServedInZoneAfter(back + 3s), 0U);
 }
 
-// Guards against callers that wait although no zone is left.
+// Guards against calls that wait although all zones are evacuated.
 TEST_F(EvacuationTest, WithAllZonesEvacuatedCallsAreRefusedAtOnce) {
   for (std::size_t zone = 0; zone < kZones; ++zone)
     m_fleet.SetEvacuated("zone-" + std::to_string(zone), true);
@@ -210,8 +212,9 @@
   }
 }
 
-// Guards against an evacuation that a restored copy of the table lacks.
-TEST_F(EvacuationTest, ARestoredTableTakesNoEvacuationBack) {
+// Guards against the loss of an evacuation that a restored copy of the table
+// lacks.
+TEST_F(EvacuationTest, ARestoredTableEndsNoEvacuation) {
   Load(1s);
   const InMemoryTable copy = m_fleet.table().table();
   m_fleet.SetEvacuated(kZone, true);
@@ -227,12 +230,12 @@
   m_fleet.SetEvacuated(kZone, false);
   m_fleet.Run(kInForce);
   const TimePoint ended = m_fleet.now();
-  // Entries ramp up targets that they saw warming.
+  // Entries increase the load of targets gradually after they were warming.
   Load(12s);
   EXPECT_EQ(ServedInZoneAfter(ended), kNodes / kZones);
 }
 
-// The same by a contract, where no operator writes a routing document.
+// The same by a contract, for deployments without a routing document.
 TEST(EvacuationContractTest, EmptiesAndFillsAZone) {
   Fleet fleet(4, kSeed, "desk");
   fleet.WriteContract("studio",
@@ -270,9 +273,9 @@
   }
 }
 
-// Guards against a document that goes back with a restored table, and against
-// changes that are missed in its new epoch.
-TEST_F(EvacuationTest, TheDocumentInForceOutlastsARestore) {
+// Guards against a document that reverts with a restored table, and against
+// changes missed in its new epoch.
+TEST_F(EvacuationTest, TheDocumentInForceSurvivesARestore) {
   const InMemoryTable copy = m_fleet.table().table();
   m_fleet.WriteDocument("7");
   m_fleet.Run(2s);
@@ -293,8 +296,8 @@
   }
 }
 
-// Guards against a restore of which only some nodes learn, and two in a row.
-TEST_F(EvacuationTest, NodesCutOffAcrossTwoRestoresAgreeInTheEnd) {
+// Guards against a restore that only some nodes notice, twice in a row.
+TEST_F(EvacuationTest, NodesDisconnectedAcrossTwoRestoresConverge) {
   const InMemoryTable copy = m_fleet.table().table();
   constexpr std::size_t node = kZoneIndex;
   m_fleet.SetEvacuated(kZone, true);
--- a/source/unit_tests/core/node_logic/event_script.cc
+++ b/source/unit_tests/core/node_logic/event_script.cc
@@ -1,4 +1,4 @@
-// Part of `event_script.h`.
+// Implements `event_script.h`.
 
 #include "unit_tests/core/node_logic/event_script.h"
 
@@ -14,7 +14,7 @@
 
 constexpr Duration kContractDeadline = std::chrono::milliseconds(500);
 constexpr Duration kSettlingTime = std::chrono::seconds(10);
-// More at one moment mean that the driver would spin.
+// More timers at one time indicate an endless loop of the driver.
 constexpr int kMaxTimersAtOnce = 100;
 constexpr std::size_t kMaxDatagrams = 64;
 
@@ -70,7 +70,7 @@
   write.workspace = WorkspaceName("paramo");
   write.body = kContract;
   Deliver(write);
-  LetPass(kSettlingTime);
+  AdvanceTime(kSettlingTime);
   if (!m_logic.IsReady())
     Fault("the node did not get ready");
   m_is_prepared = true;
@@ -79,7 +79,7 @@
 void EventScript::SettleDown() {
   for (int id = 0; id < 8; ++id)
     Deliver(AnswerStalled{CallId(id)});
-  LetPass(kSettlingTime);
+  AdvanceTime(kSettlingTime);
   if (!m_calls.empty())
     Fault("a call has no outcome");
 }
@@ -131,7 +131,7 @@
       const CallId call = AnyCall();
       const AttemptNumber attempt = AnyAttempt();
       const auto found = m_calls.find(call);
-      // The whole answer is with the caller.
+      // The caller has received the complete answer.
       const bool is_relayed = found != m_calls.end() && found->second.relayed &&
                               found->second.relayed->value() == attempt.value();
       if (is_relayed)
@@ -219,10 +219,10 @@
   switch (kind % 8) {
     case 0:
     case 1:
-      LetPass(Duration(std::int64_t{1} << (Byte() % 33)));
+      AdvanceTime(Duration(std::int64_t{1} << (Byte() % 33)));
       break;
     case 2:
-      StandStill(std::chrono::milliseconds(100) * Byte());
+      Freeze(std::chrono::milliseconds(100) * Byte());
       break;
     case 3:
     case 4:
@@ -235,7 +235,7 @@
       AskAsOperator();
       break;
     default:
-      // Rare, or no script would get far.
+      // Rare, so that most scripts run long enough.
       if (Byte() == 255)
         Deliver(ShutdownRequested{});
       else
@@ -261,7 +261,7 @@
     head.deadline = std::chrono::milliseconds(Byte());
   const Duration granted =
       std::min(head.deadline.value_or(kContractDeadline), kContractDeadline);
-  // A second call under an id that is in use must not touch the first.
+  // A second call with an id in use must not affect the first.
   m_calls.emplace(id, OpenCall{m_now + granted, std::nullopt});
   Deliver(CallArrived{id, head});
 }
@@ -306,12 +306,12 @@
       reply.status = TableStatus::kUnknown;
       break;
     case 2:
-      // Carried out, and its reply lost.
+      // The request is applied and its reply is lost.
       m_table.Apply(request);
       reply.status = TableStatus::kUnknown;
       break;
     case 3:
-      // Rows that nobody of ours wrote.
+      // Rows that were not written by this node.
       reply = m_table.Apply(request);
       for (Row& row : reply.rows)
         row.value = AnyText();
@@ -351,7 +351,7 @@
   Deliver(event);
 }
 
-void EventScript::LetPass(Duration duration) {
+void EventScript::AdvanceTime(Duration duration) {
   const TimePoint end = m_now + duration;
   while (m_fault.empty()) {
     const TimePoint next = m_logic.NextWakeup();
@@ -364,7 +364,7 @@
   CheckDeadlines();
 }
 
-void EventScript::StandStill(Duration duration) {
+void EventScript::Freeze(Duration duration) {
   m_now += duration;
   RunTimers();
   CheckDeadlines();
@@ -375,7 +375,7 @@
   while (m_logic.NextWakeup() <= m_now && m_fault.empty()) {
     Deliver(TimerFired{});
     if (++count > kMaxTimersAtOnce)
-      Fault("a timer fires for ever at one moment");
+      Fault("timers fire endlessly without time advancing");
   }
 }
 
@@ -419,14 +419,14 @@
                           bool must_be_relayed) {
   const auto found = m_calls.find(call);
   if (found == m_calls.end()) {
-    Fault("an outcome for a call that has ended or never was");
+    Fault("an outcome for a call that has ended or never existed");
     return;
   }
   const bool is_relayed = found->second.relayed.has_value();
   if (is_relayed && !may_be_relayed)
     Fault("a second answer after the head of the first");
   if (!is_relayed && must_be_relayed)
-    Fault("an answer is broken that never began");
+    Fault("an answer is broken off that never began");
   m_calls.erase(found);
 }
 
@@ -442,7 +442,7 @@
 void EventScript::On(const RelayWork& action) {
   const auto found = m_works.find(action.work);
   if (found == m_works.end() || !found->second.is_handed_over) {
-    Fault("an answer of a work that does not run");
+    Fault("an answer of a work that is not running");
     return;
   }
   found->second.is_relayed = true;
@@ -450,7 +450,7 @@
 
 void EventScript::EndWork(WorkId work) {
   if (m_works.erase(work) == 0)
-    Fault("a second end of a work");
+    Fault("a work ends twice");
 }
 
 void EventScript::On(const SendDatagram& action) {
--- a/source/unit_tests/core/node_logic/event_script.h
+++ b/source/unit_tests/core/node_logic/event_script.h
@@ -1,7 +1,7 @@
-// One node's logic under a script of arbitrary events, which bytes describe:
-// ids that were never seen, events out of order and twice, damaged datagrams,
-// replies of the table that are late, lost or untrue. Shared by the unit test
-// and the fuzz target.
+// Runs the logic of one node with a script of arbitrary events, encoded in
+// bytes: unknown ids, reordered and repeated events, damaged datagrams, and
+// late, lost or wrong replies of the table. Used by a unit test and a fuzz
+// target.
 
 #ifndef BULRUSHMOUNT_UNIT_TESTS_CORE_NODE_LOGIC_EVENT_SCRIPT_H_
 #define BULRUSHMOUNT_UNIT_TESTS_CORE_NODE_LOGIC_EVENT_SCRIPT_H_
@@ -25,16 +25,16 @@
  public:
   explicit EventScript(std::string bytes);
 
-  // Runs the script, then lets the node settle. Returns the promise that was
-  // broken first, or nothing: each call that arrived gets one final outcome,
-  // never two, and by its deadline unless its answer has begun; each work gets
-  // one end; no timer fires for ever at one moment.
+  // Runs the script until the node is idle. Returns the first violated
+  // invariant, or an empty string. The invariants: each call gets exactly one
+  // final outcome, by its deadline unless its answer has begun; each work ends
+  // exactly once; timers do not fire endlessly without time advancing.
   std::string Run();
 
  private:
   struct OpenCall {
     TimePoint deadline;
-    // Set once its answer is relayed.
+    // The attempt whose answer is relayed, if any.
     std::optional<AttemptNumber> relayed;
   };
   struct OpenWork {
@@ -56,8 +56,8 @@
   void ReplyFromTable();
   void ArriveDatagram();
   void AskAsOperator();
-  void LetPass(Duration duration);
-  void StandStill(Duration duration);
+  void AdvanceTime(Duration duration);
+  void Freeze(Duration duration);
   void RunTimers();
   void CheckDeadlines();
   void Deliver(NodeEvent event);
@@ -85,7 +85,7 @@
   void EndWork(WorkId work);
   void Fault(std::string_view text);
 
-  // --- Bytes; zeros once they have run out ---
+  // --- Script bytes; zeros after the end ---
   std::uint8_t Byte();
   CallId AnyCall() { return CallId(Byte() % 8); }
   WorkId AnyWork() { return WorkId(Byte() % 8); }
@@ -101,7 +101,7 @@
   InMemoryTable m_table;
   NodeLogic m_logic;
   std::string m_fault;
-  // Until then the table replies at once and truly.
+  // Before that the table replies at once and correctly.
   bool m_is_prepared = false;
 
   std::map<CallId, OpenCall> m_calls;
--- a/source/unit_tests/core/node_logic/failing_fast_test.cc
+++ b/source/unit_tests/core/node_logic/failing_fast_test.cc
@@ -1,5 +1,5 @@
-// Whole nodes beside targets and workspaces whose requests fail fast: neither
-// may cost other workspaces their answers.
+// Tests that targets and workspaces whose requests fail fast do not affect the
+// answers of other workspaces.
 
 #include <chrono>
 #include <cstddef>
@@ -23,8 +23,8 @@
 constexpr int kOk = 200;
 constexpr char kInnocent[] = "paramo";
 constexpr char kFailing[] = "failing";
-// The failing workspace sends so many for each request of the innocent one.
-constexpr int kFailingForOne = 10;
+// Requests of the failing workspace per request of the other one.
+constexpr int kFailingPerInnocent = 10;
 constexpr Duration kPause = std::chrono::milliseconds(50);
 
 constexpr char kContract[] = R"(workspace: {}
@@ -48,7 +48,7 @@
   FailingFastTest() : m_fleet(kNodes, kSeed, "session-desk") {
     for (const char* workspace : {kInnocent, kFailing})
       m_fleet.WriteContract(workspace, fmt::format(kContract, workspace));
-    // Past the cold start of the targets.
+    // Waits for the end of the cold start of the targets.
     m_fleet.Run(30s);
   }
 
@@ -57,13 +57,13 @@
     return m_fleet.Send(m_entry, m_fleet.MakeHead(workspace, method, "/a"));
   }
 
-  // Both workspaces call for `duration`; the part of the innocent one's calls
-  // that got a good answer.
+  // Both workspaces send requests for `duration`. Returns the share of calls of
+  // the innocent workspace that were answered successfully.
   double Goodput(Duration duration, const char* method_of_failing) {
     const TimePoint end = m_fleet.now() + duration;
     std::vector<std::size_t> calls;
     while (m_fleet.now() < end) {
-      for (int count = 0; count < kFailingForOne; ++count)
+      for (int count = 0; count < kFailingPerInnocent; ++count)
         Send(kFailing, method_of_failing);
       calls.push_back(Send(kInnocent, "GET"));
       m_fleet.Run(kPause);
@@ -79,21 +79,20 @@
   std::size_t m_entry = 0;
 };
 
-// Symptom: a workspace is refused for want of targets, though all are well.
-// Sequence: another one sends ten times as many requests, and each is answered
-// with status 500.
-// Cause: four fifths of a target's answers are errors, so it is taken out, and
-// so is the next.
+// Failure: a workspace is refused for lack of targets although all are healthy.
+// Another workspace sends ten times as many requests that are answered with
+// status 500, and since four fifths of the answers are errors, one target after
+// another is taken out of service.
 TEST_F(FailingFastTest, OneWorkspacesErrorsDoNotCostAnotherItsTargets) {
   const double goodput = Goodput(60s, Fleet::kFailMethod);
   RecordProperty("goodput", fmt::format("{:.3f}", goodput));
   EXPECT_GE(goodput, 0.99) << goodput;
 }
 
-// Symptom: two targets that fail everything at once draw most of the traffic.
-// Sequence: they answer faster than the good ones.
-// Cause: errors are not held against them.
-TEST_F(FailingFastTest, TargetsThatFailFastDrawNoTraffic) {
+// Failure: two targets that answer every request with an error attract most of
+// the traffic, because they answer faster than healthy ones and errors are not
+// taken into account.
+TEST_F(FailingFastTest, TargetsThatFailFastAttractNoTraffic) {
   m_fleet.SetFailing(0, true);
   m_fleet.SetFailing(1, true);
   const double first = Goodput(10s, "GET");
--- a/source/unit_tests/core/node_logic/fleet.cc
+++ b/source/unit_tests/core/node_logic/fleet.cc
@@ -1,5 +1,5 @@
-// Part of `fleet.h`: the nodes, their processes and the queue of steps. What
-// becomes of each action is in fleet_actions.cc.
+// Implements `fleet.h`: the nodes, their processes and the event queue. Actions
+// are carried out in fleet_actions.cc.
 
 #include "unit_tests/core/node_logic/fleet.h"
 
@@ -21,7 +21,7 @@
 constexpr int kServerError = 500;
 constexpr Duration kAnnouncementPeriod = std::chrono::seconds(1);
 constexpr Duration kReplacementDelay = std::chrono::milliseconds(200);
-// Processes of a whole fleet are started within this of each other.
+// Maximum difference between the start times of processes of a whole fleet.
 constexpr Duration kStartSpread = std::chrono::milliseconds(300);
 
 std::string IpOf(std::size_t index, std::uint64_t life) {
@@ -120,7 +120,7 @@
   Deliver(index, heartbeat);
 }
 
-bool Fleet::IsTooMuchForACold(std::size_t index) {
+bool Fleet::ExceedsColdRate(std::size_t index) {
   FakeTarget& target = m_nodes[index]->target;
   if (!m_options.cold || ColdTimeLeft(index) <= Duration::zero())
     return false;
@@ -128,7 +128,8 @@
   starts.push_back(now());
   while (now() - starts.front() >= std::chrono::seconds(1))
     starts.pop_front();
-  m_most_at_a_cold_target = std::max(m_most_at_a_cold_target, starts.size());
+  m_max_rate_at_cold_target =
+      std::max(m_max_rate_at_cold_target, starts.size());
   return starts.size() > m_options.cold->crash_above;
 }
 
@@ -225,7 +226,7 @@
 
 void Fleet::Freeze(std::size_t index, std::size_t actions) {
   Node& node = *m_nodes[index];
-  node.has_stood_still = true;
+  node.was_frozen = true;
   if (actions == 0)
     node.is_frozen = true;
   else
@@ -266,7 +267,7 @@
     if (call.entry == index && !call.outcome)
       call.is_cut = true;
   }
-  // Its peers see their connections break.
+  // Its peers detect the closed connections.
   for (const auto& stream : m_streams) {
     if (stream->is_closed)
       continue;
@@ -419,8 +420,8 @@
   return m_nodes[node]->has_exited;
 }
 
-bool Fleet::HasStoodStill(std::size_t node) const {
-  return m_nodes[node]->has_stood_still;
+bool Fleet::WasEverFrozen(std::size_t node) const {
+  return m_nodes[node]->was_frozen;
 }
 
 std::size_t Fleet::RunsOf(const std::string& request_id) const {
--- a/source/unit_tests/core/node_logic/fleet.h
+++ b/source/unit_tests/core/node_logic/fleet.h
@@ -1,6 +1,6 @@
-// A few whole nodes, with targets and a table, joined by a queue of events in
-// virtual time: enough to stop, freeze or cut a node between any two of its
-// actions. Verdicts are read from the targets' ledgers.
+// Simulates several nodes with targets and a table, connected by an event queue
+// in virtual time. Nodes can be stopped, frozen or disconnected between any two
+// actions. The recorded runs of the targets show what was executed.
 
 #ifndef BULRUSHMOUNT_UNIT_TESTS_CORE_NODE_LOGIC_FLEET_H_
 #define BULRUSHMOUNT_UNIT_TESTS_CORE_NODE_LOGIC_FLEET_H_
@@ -25,7 +25,7 @@
 
 namespace bulrushmount::testing {
 
-// What became of a call, as its caller saw it.
+// The result of a call as its caller saw it.
 struct CallerView {
   std::string request_id;
   TimePoint sent_at;
@@ -34,56 +34,58 @@
   std::optional<IdempotencyKey> key;
   std::optional<Outcome> outcome;
   Reason reason = Reason::kNone;
-  // Of the target's answer; 0 without one.
+  // Status of the answer; 0 without one.
   int status = 0;
   TimePoint answered_at;
-  // The entry was killed: the caller sees its connection break.
+  // The entry was killed, so the connection of the caller was closed.
   bool is_cut = false;
 };
 
-// Targets that are cold after a start, and crash above a rate while they are.
+// Targets that are cold after a start and crash above a request rate during
+// that time.
 struct ColdTargets {
   Duration cold_time = std::chrono::seconds(3);
-  // Of a request while cold, as a multiple of the usual time.
+  // Service time of a request while cold, as a multiple of the usual one.
   double slowdown = 2.0;
   // More requests than this within a second crash a cold target.
   std::size_t crash_above = 0;
-  // From a crash to the next start.
+  // Time from a crash to the next start.
   Duration down_time = std::chrono::seconds(1);
 };
 
 struct FleetOptions {
-  // Of the target beside each node.
+  // The service of the target of each node.
   std::vector<std::string> services;
   std::uint32_t slots = 4;
-  // Nodes run in so many availability zones by turns.
+  // Number of availability zones; nodes are assigned in turn.
   std::size_t zones = 2;
-  // A node that is started anew has the address of its predecessor.
+  // A restarted node keeps the address of its predecessor.
   bool keeps_addresses = false;
-  // Of every node; ids, addresses and zones are the fleet's own.
+  // Settings of every node; the fleet sets ids, addresses and zones.
   NodeSettings settings;
-  // With a routing document; null without one.
+  // Decodes the routing document; null without one.
   const RouteDocumentDecoder* decoder = nullptr;
   std::string document;
-  // Targets report by heartbeats, under an id of their own, and are cold after
-  // each start but the first. Without it they announce themselves.
+  // If set, targets have ids, send heartbeats and are cold after each start but
+  // the first. Otherwise they announce themselves.
   std::optional<ColdTargets> cold{};
-  // A node's processor is taken for so long by each request that it is asked
-  // for as an owner, and by each answer of its target.
+  // Processor time that an owner needs for each arriving request and for each
+  // answer of its target.
   Duration handling_time{};
 };
 
 class Fleet {
  public:
-  // Nodes run in zones by turns, each with a target of `service`.
+  // Assigns nodes to zones in turn, each with a target of `service`.
   Fleet(std::size_t nodes, std::uint64_t seed, const std::string& service);
   Fleet(FleetOptions options, std::uint64_t seed);
   ~Fleet();
 
-  // Writes a contract by the first node and waits until all have it in force.
+  // Writes a contract through the first node and waits until it is in force at
+  // all nodes.
   void WriteContract(const std::string& workspace, const std::string& yaml);
 
-  // Lets `duration` pass.
+  // Advances the time by `duration`.
   void Run(Duration duration);
   // Runs until `condition` holds; false if it does not within `limit`.
   bool RunUntil(const std::function<bool()>& condition, Duration limit);
@@ -96,50 +98,52 @@
   // The caller closes its connection.
   void Abandon(std::size_t call);
 
-  // The process is gone, and its connections break. A replacement with a new
-  // id starts at once beside the same target.
+  // Kills the process, which closes its connections. A replacement with a new
+  // id starts at once for the same target.
   void Kill(std::size_t node);
-  // The process stands still, after `actions` more actions have been carried
-  // out. What comes for it waits.
+  // Freezes the process after `actions` more actions have been carried out.
+  // Events for it are queued.
   void Freeze(std::size_t node, std::size_t actions = 0);
   void Resume(std::size_t node);
   // All nodes and targets lose power, and start again after `down`.
   void PowerOffAll(Duration down);
-  // The targets of a zone turn cold, and report it with their next heartbeat
-  // and to whoever asks.
+  // The targets of a zone turn cold and report it with their next heartbeat and
+  // in answers to probes.
   void CoolDown(const std::string& zone);
-  // The most requests that any target got within a second while it was cold.
-  std::size_t most_at_a_cold_target() const { return m_most_at_a_cold_target; }
-  // All processes are gone at once, and are started again after `down`, each
-  // within a third of a second more.
+  // Maximum number of requests that a cold target got within a second.
+  std::size_t max_rate_at_cold_target() const {
+    return m_max_rate_at_cold_target;
+  }
+  // Kills all processes at once and restarts each after `down` plus up to a
+  // third of a second.
   void RestartAll(Duration down);
-  // The node's datagrams are lost, both ways.
+  // Drops all datagrams from and to the node.
   void CutGossip(std::size_t node, bool is_cut);
   FakeTableService& table() { return m_table; }
-  // The table refuses whatever the node asks it.
+  // The table refuses all requests of the node.
   void RefuseAtTable(std::size_t node, bool is_refused);
-  // Requests that nodes sent to the table, watches and refused ones too.
+  // Requests that nodes sent to the table, including watches and refused ones.
   std::size_t table_calls() const { return m_table_calls; }
-  // The operator writes the routing document anew.
+  // Writes a new routing document as the operator.
   void WriteDocument(const std::string& text);
-  // The operator begins or ends the evacuation of a zone.
+  // Begins or ends the evacuation of a zone as the operator.
   void SetEvacuated(const std::string& zone, bool is_evacuated);
-  // The table comes back from a copy, and open watches break.
+  // Restores the table from a copy and breaks open watches.
   void RestoreTable(const InMemoryTable& copy);
-  // The target crashes and announces itself again a little later.
+  // The target crashes and announces itself again shortly afterwards.
   void CrashTarget(std::size_t node);
   void WithdrawTarget(std::size_t node);
   void SetServiceTime(std::size_t node, Duration service_time);
-  // The target answers everything with an error and fast.
+  // The target answers every request with a fast error.
   void SetFailing(std::size_t node, bool is_failing);
-  // The target beside the node answers a request, which the fleet does not
-  // know, with an error.
+  // The target of the node answers a request that is not part of `calls()` with
+  // an error.
   void FailRequest(std::size_t node);
   void Shutdown(std::size_t node);
 
   // A request with this method crashes its target.
   static constexpr char kPoisonMethod[] = "POISON";
-  // Any target answers one with this method with an error and fast.
+  // Any target answers a request with this method with a fast error.
   static constexpr char kFailMethod[] = "FAIL";
 
   const std::deque<CallerView>& calls() const { return m_calls; }
@@ -147,24 +151,24 @@
   std::size_t size() const { return m_nodes.size(); }
   NodeLogic& logic(std::size_t node);
   bool has_exited(std::size_t node) const;
-  // Whether it was ever frozen.
-  bool HasStoodStill(std::size_t node) const;
+  // Whether the node was ever frozen.
+  bool WasEverFrozen(std::size_t node) const;
 
-  // How often the target ran a request, by request id.
+  // How often targets ran a request, by request id.
   std::size_t RunsOf(const std::string& request_id) const;
-  // How often targets ran requests of this key.
+  // How often targets ran requests with this idempotency key.
   std::size_t RunsOfKey(const std::string& key) const;
   std::size_t crashes() const { return m_crashes; }
-  // Requests that owners were asked to run.
+  // Requests that were sent to owners.
   std::size_t dispatches() const { return m_dispatches; }
-  // When a target was handed a request last.
+  // When the target last received a request.
   std::optional<TimePoint> LastRunAt(std::size_t node) const;
   const std::vector<TimePoint>& probes() const { return m_probes; }
 
  private:
   struct Node;
   struct OpenWatch;
-  // One attempt on its way, between its entry and its owner.
+  // An attempt between its entry and its owner.
   struct Stream;
 
   void Deliver(std::size_t node, NodeEvent event);
@@ -177,8 +181,9 @@
   void StartTarget(std::size_t index);
   std::string InstanceOf(std::size_t index) const;
   Duration ColdTimeLeft(std::size_t index) const;
-  // Whether the request that has just come is one too many.
-  bool IsTooMuchForACold(std::size_t index);
+  // Whether the request that has just arrived exceeds the rate of a cold
+  // target.
+  bool ExceedsColdRate(std::size_t index);
   std::optional<std::size_t> FindNode(const Endpoint& gossip) const;
 
   void Do(std::size_t node, const DispatchAttempt& action);
@@ -201,7 +206,7 @@
   void Do(std::size_t node, const ExitProcess& action);
 
   void SubmitToTable(std::size_t node, const SubmitTableRequest& action);
-  void KeepWatch(std::size_t node, const SubmitTableRequest& action);
+  void AddWatch(std::size_t node, const SubmitTableRequest& action);
   void WriteRows(const TableTransact& rows);
   void AnswerWatch(const OpenWatch& watch);
   void AnswerTable(const OpenWatch& asker, const TableReply& reply);
@@ -214,10 +219,10 @@
   Stream* FindStream(std::size_t node, WorkId work);
   Stream* FindStream(std::size_t node, CallId call, AttemptNumber attempt);
 
-  // When the node's processor is done with one more piece of work that comes
-  // at `arrival`.
-  TimePoint TakeProcessor(std::size_t node, TimePoint arrival);
-  void ForgetClosedStreams();
+  // When the processor of the node has finished an additional piece of work
+  // that arrives at `arrival`.
+  TimePoint ReserveProcessor(std::size_t node, TimePoint arrival);
+  void RemoveClosedStreams();
 
   FleetOptions m_options;
   SeededRandomSource m_random;
@@ -232,7 +237,7 @@
   std::map<std::string, std::size_t> m_runs_of_key;
   std::map<std::string, std::string> m_key_of_request;
   std::size_t m_crashes = 0;
-  std::size_t m_most_at_a_cold_target = 0;
+  std::size_t m_max_rate_at_cold_target = 0;
   std::size_t m_dispatches = 0;
   std::vector<TimePoint> m_probes;
   std::optional<AnswerOperator> m_operator_answer;
--- a/source/unit_tests/core/node_logic/fleet_actions.cc
+++ b/source/unit_tests/core/node_logic/fleet_actions.cc
@@ -1,4 +1,4 @@
-// Part of `fleet.h`: what becomes of each action of a node.
+// Implements `fleet.h`: carries out the actions of nodes.
 
 #include <algorithm>
 #include <utility>
@@ -15,7 +15,7 @@
 constexpr Duration kTableDelay = std::chrono::milliseconds(3);
 constexpr Duration kFailureTime = std::chrono::milliseconds(1);
 constexpr int kOk = 200;
-// Closed streams may be among so many.
+// Above this number closed streams are removed.
 constexpr std::size_t kKeptStreams = 1024;
 constexpr int kServerError = 500;
 
@@ -40,21 +40,21 @@
   return nullptr;
 }
 
-TimePoint Fleet::TakeProcessor(std::size_t node, TimePoint arrival) {
+TimePoint Fleet::ReserveProcessor(std::size_t node, TimePoint arrival) {
   TimePoint& free_at = m_nodes[node]->processor_free_at;
   free_at = std::max(free_at, arrival) + m_options.handling_time;
   return free_at;
 }
 
-// Streams are found by looking at all of them.
-void Fleet::ForgetClosedStreams() {
+// Keeps the linear search for streams short.
+void Fleet::RemoveClosedStreams() {
   if (m_streams.size() > kKeptStreams)
     std::erase_if(m_streams, [](const auto& one) { return one->is_closed; });
 }
 
 void Fleet::Do(std::size_t node, const DispatchAttempt& action) {
   ++m_dispatches;
-  ForgetClosedStreams();
+  RemoveClosedStreams();
   AttemptLost lost;
   lost.call = action.call;
   lost.attempt = action.attempt;
@@ -77,7 +77,7 @@
     const std::uint64_t owner_life = other.life;
     const WorkArrived arrived{stream->work, action.head};
     m_streams.push_back(std::move(stream));
-    const TimePoint handled_at = TakeProcessor(owner, now() + kNetworkDelay);
+    const TimePoint handled_at = ReserveProcessor(owner, now() + kNetworkDelay);
     m_time.After(handled_at - now(), [this, owner, owner_life, arrived] {
       if (m_nodes[owner]->life == owner_life)
         Deliver(owner, arrived);
@@ -104,7 +104,7 @@
   });
 }
 
-// Bodies are not modelled: the head and the end of an answer come together.
+// Bodies are not modelled: the head and the end of an answer arrive together.
 void Fleet::Do(std::size_t node, const RelayAnswer& action) {
   Answer(action.call, Outcome::kAnswered, Reason::kNone);
 }
@@ -149,7 +149,7 @@
     ++m_runs_of_key[key->second];
   target.last_run_at = now();
   target.runs[work] = TargetRun();
-  if (stream->head.method == kPoisonMethod || IsTooMuchForACold(node)) {
+  if (stream->head.method == kPoisonMethod || ExceedsColdRate(node)) {
     m_time.After(kNetworkDelay, [this, node] { CrashTarget(node); });
     return;
   }
@@ -163,7 +163,7 @@
                                   : target.service_time;
   const Duration run_time = fails ? kFailureTime : usual_time;
   m_time.After(run_time, [this, node, life, work, status] {
-    const TimePoint handled_at = TakeProcessor(node, now());
+    const TimePoint handled_at = ReserveProcessor(node, now());
     if (handled_at <= now()) {
       FinishRun(node, life, work, status);
       return;
@@ -285,7 +285,7 @@
     AnswerTable({node, life, action.request, {}},
                 {TableStatus::kUnavailable, {}, {}});
   } else if (std::holds_alternative<TableWatch>(action.body)) {
-    KeepWatch(node, action);
+    AddWatch(node, action);
   } else {
     SubmitToTable(node, action);
   }
@@ -302,8 +302,8 @@
   m_time.After(kTableDelay, [this] { m_table.DeliverNext(now()); });
 }
 
-// It is answered by the next change, or at the end of its wait without one.
-void Fleet::KeepWatch(std::size_t node, const SubmitTableRequest& action) {
+// The watch is answered by the next change or when its wait time ends.
+void Fleet::AddWatch(std::size_t node, const SubmitTableRequest& action) {
   const auto& body = std::get<TableWatch>(action.body);
   const OpenWatch watch{node, m_nodes[node]->life, action.request, body};
   const TableReply reply = m_table.table().Apply(body);
--- a/source/unit_tests/core/node_logic/fleet_parts.h
+++ b/source/unit_tests/core/node_logic/fleet_parts.h
@@ -25,12 +25,14 @@
   bool is_up = true;
   bool is_withdrawn = false;
   std::uint64_t incarnation = 1;
-  // Rises at each crash, so that an answer of an earlier life is dropped.
+  // Incremented at each crash, so that answers of an earlier process are
+  // dropped.
   std::uint64_t life = 1;
   Duration service_time = std::chrono::milliseconds(10);
   bool is_failing = false;
   TimePoint cold_until;
-  // Of requests within the last second, since it turned cold.
+  // Start times of requests within the last second, since the target turned
+  // cold.
   std::deque<TimePoint> cold_starts;
   std::uint64_t heartbeats = 0;
   std::map<WorkId, TargetRun> runs;
@@ -43,25 +45,25 @@
   NodeSettings settings;
   std::unique_ptr<SeededRandomSource> random;
   std::unique_ptr<NodeLogic> logic;
-  // Rises with each process.
+  // Incremented with each process.
   std::uint64_t life = 0;
   bool is_frozen = false;
-  bool has_stood_still = false;
+  bool was_frozen = false;
   bool has_exited = false;
   bool is_gossip_cut = false;
   bool is_refused_at_table = false;
-  // What the logic said last; it changes with its events only.
+  // Last result of NodeLogic::NextWakeup, which changes only with events.
   TimePoint next_wakeup;
   TimePoint processor_free_at;
-  // Decided and not yet carried out.
+  // Actions that are not yet carried out.
   std::deque<NodeAction> actions;
   std::optional<std::size_t> freeze_after;
-  // Came while the process stood still.
+  // Events that arrived while the process was frozen.
   std::deque<NodeEvent> waiting;
   FakeTarget target;
 };
 
-// A watch that the table has not answered yet.
+// A watch without an answer yet.
 struct Fleet::OpenWatch {
   std::size_t node = 0;
   std::uint64_t life = 0;
--- a/source/unit_tests/core/node_logic/nested_overload_test.cc
+++ b/source/unit_tests/core/node_logic/nested_overload_test.cc
@@ -1,15 +1,16 @@
-// Whole nodes at a load of nested calls that a called service can't carry.
+// Tests a load of nested calls that exceeds the capacity of the called service.
 //
-// For some seconds half as many requests as usual came, and a third of the
-// called service's targets was gone. Each request made two calls to that
-// service and failed without either answer. Of 1,574 calls a second 655 were
-// answered, while the nodes of the called service refused 6,200 a second: every
-// call that could not be served asked six owners in turn, and the nodes, with a
-// tenth of a core each, had more to do with refusing (609 to 1,146 requests a
-// second each) than with the 77 a second that they bring on a calm day. 265 of
-// the 655 answers went to requests whose other call was refused; 576 requests
-// failed and 417 succeeded. The targets' other callers, who download large
-// files, were starved beside that.
+// Load pattern: for some seconds the request rate is 1.5 times the usual one,
+// and a third of the targets of the called service is missing. Each request
+// makes two calls to that service and fails if one of them fails. In the
+// observed incident 655 of 1,574 calls per second were answered, while the
+// nodes of the called service refused 6,200 per second: each call that could
+// not be served tried six owners in turn, and the nodes, with a tenth of a core
+// each, spent their time on refusals (609 to 1,146 requests per second each,
+// compared to 77 under normal load). 265 of the 655 answers belonged to
+// requests whose other call was refused, so 576 requests failed and 417
+// succeeded. Other callers of the targets, which download large files, were
+// starved.
 
 #include <chrono>
 #include <cmath>
@@ -48,7 +49,7 @@
 constexpr Duration kLookupTime = 36ms;
 constexpr Duration kLookupDeadline = 400ms;
 constexpr int kLookupsOfARequest = 2;
-// What all slots together can do in a second.
+// Calls per second that all slots together can complete.
 constexpr double kCapacity =
     kCalledNodes * kSlots / std::chrono::duration<double>(kLookupTime).count();
 
@@ -69,7 +70,7 @@
   return config;
 }
 
-class OneDocument : public RouteDocumentDecoder {
+class FixedDocumentDecoder : public RouteDocumentDecoder {
  public:
   std::variant<RouteDocument, RouteDocumentFault> Decode(
       std::string_view) const override {
@@ -77,7 +78,7 @@
   }
 };
 
-// As on a platform whose nodes have little of a core.
+// Settings of a platform whose nodes have a fraction of a core.
 NodeSettings Settings() {
   NodeSettings settings;
   settings.has_route_document = true;
@@ -90,29 +91,30 @@
 }
 
 struct OverloadResult {
-  // Requests a second all of whose calls were answered.
+  // Requests per second all of whose calls were answered.
   double served = 0;
-  // Of owners, for each call.
+  // Attempts per call.
   double asked = 0;
 };
 
 struct NestedLoad {
   const char* name;
-  // What a node needs to decide on one request as an owner.
+  // Processor time of an owner per request.
   Duration handling_time;
-  // Calls, over what the called service can do.
+  // Offered calls relative to the capacity of the called service.
   double load;
 };
 
 class NestedOverloadTest : public ::testing::TestWithParam<NestedLoad> {
  protected:
-  // Requests come for `length`, with so many calls of what the called service
-  // can do.
+  // Sends requests for `length`, with `load` times the capacity of the called
+  // service in calls.
   OverloadResult Play(double load,
                       Duration length,
                       std::uint64_t seed = kSeed) {
     Fleet fleet(Options(), seed);
-    // Until all know the routes and each other, and targets are warm.
+    // Waits until all nodes know the routes and each other and targets are
+    // warm.
     fleet.Run(20s);
     for (std::size_t node = 0; node < kCalledNodes; ++node)
       fleet.SetServiceTime(node, kLookupTime);
@@ -155,7 +157,7 @@
            static_cast<std::size_t>(random.Fraction() * kCallerNodes);
   }
 
-  // Its calls start together.
+  // Sends a request, whose calls start together.
   void SendRequest(Fleet& fleet, std::size_t node) {
     Request request;
     for (int count = 0; count < kLookupsOfARequest; ++count) {
@@ -167,8 +169,8 @@
     m_requests.push_back(std::move(request));
   }
 
-  // A request ends with its last answer, or as soon as one of its calls has
-  // failed, and leaves the others then.
+  // A request ends with its last answer or with its first failed call; the
+  // remaining calls are then abandoned.
   void SettleRequests(Fleet& fleet) {
     std::erase_if(m_requests, [this, &fleet](const Request& request) {
       std::size_t answered = 0;
@@ -189,12 +191,12 @@
     });
   }
 
-  OneDocument m_decoder;
+  FixedDocumentDecoder m_decoder;
   std::vector<Request> m_requests;
   std::size_t m_served = 0;
 };
 
-// The goal for good answers beyond full load, as part of those at full load.
+// Minimum goodput under overload relative to that at full load.
 constexpr double kGoodputGoal = 0.95;
 
 TEST_P(NestedOverloadTest, MoreThanCanBeServedCostsNoGoodAnswers) {
@@ -208,7 +210,7 @@
       << over.asked;
 }
 
-// One play of four seconds is off by a tenth either way; eight together tell
+// A single run of four seconds varies by 10 %; the total of eight runs shows
 // whether the goal is met.
 TEST_P(NestedOverloadTest, MoreThanCanBeServedCostsNoGoodAnswersOverSeeds) {
   constexpr std::uint64_t seed_count = 8;
@@ -221,8 +223,9 @@
   EXPECT_GE(over, kGoodputGoal * full);
 }
 
-// What bounds an overload must not make one of a load that can be served.
-TEST_P(NestedOverloadTest, AllThatCanBeServedIsServed) {
+// The overload protection must not reduce the goodput of a load that can be
+// served.
+TEST_P(NestedOverloadTest, ServesTheWholeLoadBelowCapacity) {
   const OverloadResult below = Play(0.9, 4s);
   const OverloadResult full = Play(1.0, 4s);
   EXPECT_GE(full.served, kGoodputGoal * below.served)
@@ -234,7 +237,7 @@
     Loads,
     NestedOverloadTest,
     ::testing::Values(
-        // A tenth of a core decides on 1,000 requests a second.
+        // A tenth of a core handles 1,000 requests per second.
         NestedLoad{"TenthOfACore", 1ms, 1.7},
         NestedLoad{"HalfOfACore", 200us, 1.7},
         NestedLoad{"TenthMoreThanFull", 1ms, 1.1}),
--- a/source/unit_tests/core/node_logic/node_logic_test.cc
+++ b/source/unit_tests/core/node_logic/node_logic_test.cc
@@ -1,5 +1,5 @@
-// Tests of whole nodes together: the promises, under kills, freezes, cuts and
-// outages of the table between any two actions.
+// Tests the invariants of several nodes together with kills, freezes, network
+// partitions and table outages between any two actions.
 
 #include "core/node_logic/node_logic.h"
 
@@ -25,7 +25,8 @@
 constexpr char kWorkspace[] = "paramo";
 constexpr char kService[] = "session-desk";
 constexpr Duration kDeadline = std::chrono::milliseconds(500);
-// What a refusal or an answer may take beyond the deadline, on its way.
+// Time that a refusal or an answer may take beyond the deadline, for
+// transmission.
 constexpr Duration kMargin = std::chrono::milliseconds(5);
 
 constexpr char kContract[] = R"(workspace: paramo
@@ -66,7 +67,8 @@
 
 class NodeLogicTest : public ::testing::Test {
  public:
-  // A fleet whose nodes know each other, the contract and their targets.
+  // Returns a fleet whose nodes know each other, the contract and their
+  // targets.
   static std::unique_ptr<Fleet> MakeFleet(
       std::size_t nodes,
       std::uint64_t seed,
@@ -89,11 +91,10 @@
   }
 };
 
-// Symptom: `contract write --wait` returns long after the change is in force.
-// Sequence: the node that wrote hears of each member's revision with that
-// member's next heartbeat to it, one of the others each 0.5 s.
-// Cause: it did not ask.
-TEST_F(NodeLogicTest, WriterSoonKnowsThatAllHaveTheRevision) {
+// Failure: `contract write --wait` returns long after the change is in force.
+// The writing node does not query the other members, so it learns the revision
+// of each only with that member's next heartbeat to it, one member per 0.5 s.
+TEST_F(NodeLogicTest, WriterPromptlyLearnsThatAllHaveTheRevision) {
   const std::size_t nodes = 40;
   const auto fleet = MakeFleet(nodes, 5);
   fleet->WriteContract("measurement", kMeasuringContract);
@@ -103,7 +104,7 @@
     for (std::size_t at = status.find("\"revision\":2"); at != status.npos;
          at = status.find("\"revision\":2", at + 1))
       ++found;
-    // Each member's, and the node's own.
+    // One entry per member and one for the node itself.
     return found == nodes + 1;
   };
   EXPECT_TRUE(fleet->RunUntil(knows, std::chrono::seconds(1)));
@@ -133,7 +134,8 @@
     EXPECT_EQ(call.outcome, Outcome::kAnswered);
 }
 
-// What a caller was told must agree with the targets' ledgers.
+// The outcome reported to a caller must agree with the recorded runs of the
+// targets.
 void CheckTruth(const Fleet& fleet, const CallerView& call) {
   const std::size_t runs = fleet.RunsOf(call.request_id);
   if (call.outcome == Outcome::kNotRun)
@@ -146,15 +148,16 @@
   }
 }
 
-// Every call whose entry lived and ran has its final answer in time.
+// Every call whose entry was neither killed nor frozen gets its final answer in
+// time.
 void CheckTime(const Fleet& fleet, const CallerView& call) {
-  if (call.is_cut || fleet.HasStoodStill(call.entry))
+  if (call.is_cut || fleet.WasEverFrozen(call.entry))
     return;
   RC_ASSERT(call.outcome.has_value());
   RC_ASSERT(call.answered_at <= call.sent_at + kDeadline + kMargin);
 }
 
-// In every second at most what the contract grants.
+// The number of probes in any second is within the contract.
 void CheckProbes(const Fleet& fleet) {
   const std::vector<TimePoint>& probes = fleet.probes();
   for (std::size_t first = 0; first + kProbesPerSecond < probes.size();
@@ -164,7 +167,7 @@
   }
 }
 
-// One disturbance or call, as data, so that a failing history prints.
+// A fault or a call as data, so that a failing sequence can be printed.
 struct Step {
   enum class Kind : std::uint8_t {
     kCall,
@@ -182,7 +185,7 @@
   };
   Kind kind = Kind::kCall;
   std::size_t node = 0;
-  // Of the kind: a key, a count of actions, a fault, or milliseconds.
+  // Depends on the kind: a key, a number of actions, a fault, or milliseconds.
   std::size_t detail = 0;
   Duration pause{};
 };
@@ -290,12 +293,11 @@
   return fleet;
 }
 
-// Symptom: a caller is told that a request was not run, and a target's ledger
-// has it; a booking stands twice in the ledgers; a call is left hanging; a
-// target sees more probes than the contract grants. Sequence: any history of
-// kills, freezes between two actions, crashes of targets, cuts of gossip and
-// outages of the table. Cause: whatever it is, here it is found.
-RC_GTEST_PROP(NodeHistories, KeepThePromises, (std::uint64_t seed)) {
+// Checks for arbitrary sequences of kills, freezes between two actions, target
+// crashes, gossip partitions and table outages: no request is reported as not
+// run although a target ran it, no booking runs twice, every call gets an
+// outcome, and no target gets more probes than the contract allows.
+RC_GTEST_PROP(NodeHistories, SatisfyTheInvariants, (std::uint64_t seed)) {
   const auto steps = *rc::gen::container<std::vector<Step>>(AnyStep());
   const auto fleet = RunHistory(seed, steps);
   for (const CallerView& call : fleet->calls()) {
@@ -305,9 +307,9 @@
   CheckProbes(*fleet);
 }
 
-// Symptom: a fleet that was broken stays broken. Sequence: any history as
-// above, then everything is mended. Cause: state that no event clears.
-RC_GTEST_PROP(NodeHistories, RecoverWhenAllIsMended, (std::uint64_t seed)) {
+// Failure: a fleet does not recover after all faults have ended, because some
+// state is never cleared.
+RC_GTEST_PROP(NodeHistories, RecoverAfterAllFaultsEnd, (std::uint64_t seed)) {
   const auto steps = *rc::gen::container<std::vector<Step>>(AnyStep());
   const auto fleet = RunHistory(seed, steps);
   for (std::size_t node = 0; node < kNodes; ++node)
@@ -322,12 +324,12 @@
   }
 }
 
-// Symptom: one request, sent again by its caller, takes down one target after
-// another. Sequence: it is sent through all entries by turns, and at once.
-// Cause: nobody connects the crashes with the request.
+// Failure: one request that its caller repeats crashes one target after
+// another, sent through all entries in turn and at once, because the crashes
+// are not attributed to the request.
 TEST_F(NodeLogicTest, PoisonCrashesABoundedNumberOfTargets) {
   constexpr std::size_t repeats = 30;
-  // Those that run when the first crash happens, and one under a permit.
+  // Runs in progress at the first crash, and one run with a permit.
   constexpr std::size_t most_crashes = kNodes + 1;
   const auto fleet = MakeFleet(kNodes, 4);
   for (std::size_t repeat = 0; repeat < repeats; ++repeat) {
@@ -342,15 +344,13 @@
   EXPECT_LE(fleet->crashes(), most_crashes);
 }
 
-// Symptom: a target that said it leaves gets new work. Sequence: it withdraws
-// while no node's gossip arrives, and calls go on at all entries. Cause: the
-// entries believe what they heard last; only the owner knows.
-// Symptom: a reader whose search was in flight beside a poison request is told
-// to come back in a minute, though it could run in a second.
-// Sequence: the target crashes under both; the search is sent twice at once;
-// then the poison runs alone, crashes the target and is sent again.
-// Cause: suspects and convicts are refused with the same reason.
-TEST_F(NodeLogicTest, SuspectsAndConvictsAreRefusedWithTheirOwnReasons) {
+// Failure: a reader whose search ran at the same time as a crashing request
+// gets the Retry-After of a minute although it could run within a second. The
+// target crashes with both requests, the search is sent twice concurrently,
+// then the crashing request runs alone and crashes the target again. The cause
+// is that suspect and convicted requests are refused with the same reason.
+TEST_F(NodeLogicTest,
+       SuspectAndConvictedRequestsAreRefusedWithDifferentReasons) {
   const auto fleet = MakeFleet(1, 7);
   fleet->Run(std::chrono::seconds(10));
   const auto send = [&fleet](const char* method) {
@@ -377,7 +377,10 @@
   EXPECT_EQ(fleet->crashes(), 2U);
 }
 
-TEST_F(NodeLogicTest, WithdrawnTargetGetsNothingNew) {
+// Failure: a withdrawn target gets new work. It withdraws while gossip is lost,
+// and calls continue at all entries. The entries act on outdated state; only
+// the owner knows the current one.
+TEST_F(NodeLogicTest, WithdrawnTargetGetsNoNewWork) {
   const auto fleet = MakeFleet(kNodes, 5);
   for (std::size_t node = 0; node < kNodes; ++node)
     fleet->CutGossip(node, true);
@@ -395,10 +398,10 @@
   EXPECT_GT(answered, 0U);
 }
 
-// Symptom: a request in progress is cut off by a graceful stop. Sequence: all
-// nodes are told to stop, one after the other, while calls run that take longer
-// than a node waits for anything else. Cause: the exit does not ask for them.
-TEST_F(NodeLogicTest, ShutdownEndsWhatIsInProgressAndExits) {
+// Failure: a graceful shutdown aborts requests in progress. All nodes are
+// stopped one after the other while calls run that take longer than any other
+// step of the shutdown, and the exit does not wait for them.
+TEST_F(NodeLogicTest, ShutdownCompletesRequestsInProgressAndExits) {
   const auto fleet = MakeFleet(kNodes, 6);
   for (std::size_t node = 0; node < kNodes; ++node) {
     fleet->SetServiceTime(node, std::chrono::seconds(20));
@@ -417,10 +420,10 @@
     EXPECT_EQ(call.outcome, Outcome::kAnswered) << TraitsOf(call.reason).token;
 }
 
-// Symptom: a studio hour is booked that nobody asks for any more. Sequence: the
-// entry sends its claim to the table and is stopped; the claim is granted; the
-// caller gives up; the entry goes on. Cause: a granted claim was taken for
-// leave to dispatch at any time.
+// Failure: a booking is executed after its caller has given up. The entry sends
+// its claim to the table and is frozen; the claim is granted, the caller gives
+// up, and the entry resumes and dispatches, because a granted claim has no time
+// limit for the dispatch.
 TEST_F(NodeLogicTest, FrozenClaimantDoesNotDispatchAfterTheDeadline) {
   const auto fleet = MakeFleet(kNodes, 8);
   fleet->Send(0, MakeBooking(*fleet, 0));
@@ -429,20 +432,21 @@
   fleet->Resume(0);
   fleet->Run(std::chrono::seconds(2));
   EXPECT_EQ(fleet->RunsOfKey("paramo/key-0"), 0U);
-  // The key is free again: the caller's second try runs.
+  // The key is available again: the retry of the caller runs.
   const std::size_t again = fleet->Send(1, MakeBooking(*fleet, 0));
   fleet->Run(kDeadline);
   EXPECT_EQ(fleet->calls()[again].outcome, Outcome::kAnswered);
   EXPECT_EQ(fleet->RunsOfKey("paramo/key-0"), 1U);
 }
 
-// Symptom: callers are told "not run" though other targets are free. Sequence:
-// a target crashes, and calls are sent to it before its node has told the
-// others. Cause: no retry was set aside for an attempt, so none was made.
+// Failure: callers get "not run" although other targets are free. A target
+// crashes, and calls are sent to it before its node has announced that. No
+// retry was reserved for the attempt, so none is made.
 TEST_F(NodeLogicTest, AttemptThatWasNotRunGoesToAnotherOwner) {
   const auto fleet = MakeFleet(kNodes, 5);
   fleet->CrashTarget(1);
-  // Not more at once than the retry budget sets aside for an idle service.
+  // Not more concurrent calls than the retries that the budget reserves for an
+  // idle service.
   constexpr int calls = 5;
   for (int call = 0; call < calls; ++call)
     fleet->Send(0, fleet->MakeHead(kWorkspace, "GET", "/scripts"));
@@ -451,11 +455,11 @@
     EXPECT_EQ(call.outcome, Outcome::kAnswered) << TraitsOf(call.reason).token;
 }
 
-// Symptom: a workspace is refused with workspace-rate-limit though it sends a
-// hundredth of what its contract allows. Sequence: a new fleet, whose limiter
-// homes have little to lend yet; the first calls come at all entries within a
-// third of a second. Cause: an entry that has a loan goes by it alone, and the
-// first loan was what one call had asked for.
+// Failure: a workspace is refused with workspace-rate-limit although it sends a
+// hundredth of its contractual rate. In a new fleet the limiter homes can lend
+// little at first, and the first calls arrive at all entries within a third of
+// a second. An entry with a loan uses only that loan, and the first loan was
+// sized for a single call.
 TEST_F(NodeLogicTest, FirstCallsWithinTheLimitAreAdmitted) {
   const auto fleet = MakeFleet(kNodes, 9, Duration(0));
   for (int round = 0; round < 100; ++round) {
@@ -469,9 +473,9 @@
   EXPECT_EQ(refused, 0U) << "of " << fleet->calls().size();
 }
 
-// Symptom: a node answers by a contract that was replaced. Sequence: three
-// changes while one node stands still; it resumes. Cause: it would serve on
-// with what it knew.
+// Failure: a node applies a contract that was replaced. Three changes are made
+// while the node is frozen, and after it resumes it continues with its old
+// state.
 TEST_F(NodeLogicTest, FrozenNodeCatchesUpWithTheConfiguration) {
   const auto fleet = MakeFleet(kNodes, 7);
   fleet->Freeze(2);
--- a/source/unit_tests/core/node_logic/routed_node_test.cc
+++ b/source/unit_tests/core/node_logic/routed_node_test.cc
@@ -1,5 +1,5 @@
-// One whole node under a routing document, as entry and owner at once: its
-// target's gate, the choice of a good start, what is sent again, and leaving.
+// Tests one node with a routing document as entry and owner at once: the gate
+// of its target, the selection of starts, retries and the shutdown.
 
 #include <chrono>
 #include <cstdint>
@@ -43,7 +43,7 @@
   return config;
 }
 
-// The document's text is its revision.
+// Decodes a document whose text is its revision number.
 class NumberDecoder : public RouteDocumentDecoder {
  public:
   std::variant<RouteDocument, RouteDocumentFault> Decode(
@@ -55,8 +55,8 @@
   }
 };
 
-// The node, with a table that answers at once and a target that answers when
-// the test says so.
+// A node with a table that answers at once and a target that answers when the
+// test requests it.
 class RoutedNodeTest : public testing::Test {
  protected:
   RoutedNodeTest() : m_logic(Settings(), m_decoder, m_random, m_now) {}
@@ -104,7 +104,7 @@
     Deliver(TableReplied{request.request, std::move(reply)});
   }
 
-  // The operator writes, and the watch that waits tells.
+  // Writes the document as the operator and completes the open watch.
   void WriteDocument(const std::string& text) {
     m_document = text;
     ASSERT_TRUE(m_watch);
@@ -124,7 +124,7 @@
     m_now = end;
   }
 
-  // The oldest action of the type, taken out.
+  // Removes and returns the oldest action of the type.
   template <typename Action>
   std::optional<Action> Next() {
     for (auto it = m_actions.begin(); it != m_actions.end(); ++it) {
@@ -156,7 +156,7 @@
                           TargetLoadSample{0, 0, 9, slowdown}});
   }
 
-  // Ready, with a target whose gate is open.
+  // Makes the node ready, with an open target gate.
   void Start() {
     Advance(3s);
     ASSERT_TRUE(m_logic.IsReady());
@@ -176,7 +176,7 @@
     return CallId(m_last_call);
   }
 
-  // Carries the node's next attempt to itself.
+  // Delivers the next attempt of the node to itself.
   std::optional<DispatchAttempt> Arrive() {
     auto attempt = Next<DispatchAttempt>();
     if (attempt)
@@ -184,7 +184,7 @@
     return attempt;
   }
 
-  // Carries the owner's refusal back.
+  // Delivers the refusal of the owner to the entry.
   void Refuse(const DispatchAttempt& attempt, Reason expected) {
     const auto refusal = Next<RefuseWork>();
     ASSERT_TRUE(refusal);
@@ -206,7 +206,7 @@
   std::uint64_t m_last_work = 0;
 };
 
-TEST_F(RoutedNodeTest, RefusesForNowUntilItKnowsTheRoutes) {
+TEST_F(RoutedNodeTest, RefusesTemporarilyUntilTheRoutesAreKnown) {
   m_is_table_away = true;
   Advance(3s);
   EXPECT_FALSE(m_logic.IsReady());
@@ -215,7 +215,7 @@
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->reason, Reason::kConfigurationUnknown);
   m_is_table_away = false;
-  // The table is back: two seconds, and the jitter of one read.
+  // The table is available again: two seconds, and the jitter of one read.
   Advance(3s);
   EXPECT_TRUE(m_logic.IsReady());
   Call("/nowhere/");
@@ -224,7 +224,7 @@
   EXPECT_EQ(answer->reason, Reason::kNoRoute);
 }
 
-TEST_F(RoutedNodeTest, AWatchBringsTheNextDocumentAndAnOldOneChangesNothing) {
+TEST_F(RoutedNodeTest, AWatchDeliversTheNextDocumentAndAnOldOneIsIgnored) {
   Start();
   const auto revision = [this] { return m_logic.StatusJson(m_now); };
   EXPECT_NE(revision().find("\"revision\":5"), std::string::npos);
@@ -238,10 +238,9 @@
   EXPECT_NE(revision().find("\"revision\":9"), std::string::npos);
 }
 
-// Symptom: changes are in force only seconds after they were made. Sequence:
-// the watch breaks off while the table is away for a moment. Cause: nothing
-// began it again.
-TEST_F(RoutedNodeTest, AWatchThatBrokeOffIsBegunAgainAfterARead) {
+// Failure: changes take seconds to come into force. The watch fails during a
+// short outage of the table and is not opened again.
+TEST_F(RoutedNodeTest, ABrokenWatchIsReopenedAfterARead) {
   Start();
   ASSERT_TRUE(m_watch);
   TableReply lost;
@@ -254,11 +253,11 @@
             std::string::npos);
 }
 
-// Symptom: a third of all requests take seven times their usual time although
-// other targets were undisturbed. Sequence: the entry's knowledge of a target's
-// speed is some hundred milliseconds old; disturbances come twice a second.
-// Cause: the request was handed over without asking the target.
-TEST_F(RoutedNodeTest, AsksTheTargetsSpeedBeforeAHandOver) {
+// Failure: a third of all requests takes seven times the usual time although
+// other targets have no interference. Interference occurs twice a second, the
+// speed of a target known to the entry is some hundred milliseconds old, and
+// the request is handed over without probing the target.
+TEST_F(RoutedNodeTest, ProbesTheTargetsSpeedBeforeAHandOver) {
   Start();
   Advance(100ms);
   const CallId call = Call("/read/1");
@@ -268,12 +267,12 @@
   EXPECT_FALSE(Next<HandToTarget>());
   AnswerProbe("i-1", 7);
   Refuse(*attempt, Reason::kSlowTarget);
-  // There is no other target: it takes this one as it is.
+  // There is no other target, so this one is accepted.
   attempt = Arrive();
   ASSERT_TRUE(attempt);
   EXPECT_EQ(attempt->call, call);
   EXPECT_EQ(attempt->head.max_slowdown, 0);
-  // And starts once the disturbance is over.
+  // The work starts once the interference is over.
   EXPECT_FALSE(Next<HandToTarget>());
   Advance(60ms);
   AnswerProbe("i-1", 1);
@@ -282,7 +281,7 @@
   EXPECT_EQ(hand_over->instance, InstanceId("i-1"));
 }
 
-TEST_F(RoutedNodeTest, AFreshWordIsBelievedWithoutAsking) {
+TEST_F(RoutedNodeTest, AFreshLoadSampleIsUsedWithoutAProbe) {
   Start();
   Call("/read/1");
   ASSERT_TRUE(Arrive());
@@ -290,7 +289,7 @@
   EXPECT_FALSE(Next<SendProbe>());
 }
 
-TEST_F(RoutedNodeTest, ASilentHealthEndpointDoesNotHoldRequestsUp) {
+TEST_F(RoutedNodeTest, ASilentHealthEndpointDoesNotDelayRequests) {
   Start();
   Advance(100ms);
   Call("/read/1");
@@ -302,11 +301,10 @@
   EXPECT_TRUE(Next<HandToTarget>());
 }
 
-// Symptom: a target gets requests after its leaving was acknowledged. Sequence:
-// a request waits at the owner for the target's word on its speed; the target
-// reports that it drains; then the word comes. Cause: what waits was not asked
-// again whether the gate is open.
-TEST_F(RoutedNodeTest, NothingThatWaitsIsHandedToATargetThatDrains) {
+// Failure: a target gets requests after its leave was acknowledged. A request
+// waits at the owner for a speed probe, the target reports that it drains, and
+// then the probe is answered. The gate is not checked again for held requests.
+TEST_F(RoutedNodeTest, HeldWorkIsNotHandedToADrainingTarget) {
   Start();
   Advance(100ms);
   Call("/book/1");
@@ -326,10 +324,10 @@
   EXPECT_EQ(answer->outcome, Outcome::kNotRun);
 }
 
-// Symptom: a target gets no work for good. Sequence: another writer reports,
-// twice, a target of a service that nobody has configured. Cause: it took the
-// place of the one that is there.
-TEST_F(RoutedNodeTest, ATargetOfAnUnknownServiceTakesNobodysPlace) {
+// Failure: a target gets no work permanently. Another process reports, twice, a
+// target of a service that is not configured, and it replaces the current
+// target.
+TEST_F(RoutedNodeTest, ATargetOfAnUnknownServiceReplacesNoTarget) {
   Start();
   TargetHeartbeat stranger = Heartbeat("i-9", 1);
   stranger.service = ServiceName("unheard-of");
@@ -341,8 +339,8 @@
   EXPECT_TRUE(Next<HandToTarget>());
 }
 
-// Words that are not taken count, and change nothing.
-TEST_F(RoutedNodeTest, WordsThatAreNotTakenAreCounted) {
+// Rejected reports are counted and have no other effect.
+TEST_F(RoutedNodeTest, RejectedReportsAreCounted) {
   Start();
   TargetHeartbeat stranger = Heartbeat("i-9", 1);
   stranger.service = ServiceName("unheard-of");
@@ -359,10 +357,10 @@
   EXPECT_TRUE(Next<HandToTarget>());
 }
 
-// Symptom: a target whose leaving was acknowledged gets work. Sequence: its
-// service goes out of the configuration, it reports that it drains, and the
-// service comes back. Cause: words of unknown services were passed over.
-TEST_F(RoutedNodeTest, ADrainIsHeardWhateverTheService) {
+// Failure: a target whose leave was acknowledged gets work. Its service is
+// removed from the configuration, it reports that it drains, and the service is
+// added again. Reports of unknown services were ignored.
+TEST_F(RoutedNodeTest, ADrainReportIsAcceptedForAnyService) {
   Start();
   TargetHeartbeat draining = Heartbeat("i-1", 2);
   draining.service = ServiceName("unheard-of");
@@ -373,25 +371,24 @@
   EXPECT_FALSE(Next<HandToTarget>());
 }
 
-struct FateCase {
+struct RetryCase {
   const char* name;
   const char* target;
-  // What becomes of the hand-over.
+  // Whether the target sheds the request; otherwise its answer is lost.
   bool is_shed;
-  // Whether the call is sent to a target once more.
-  bool is_sent_again;
+  // Whether another attempt is made.
+  bool is_retried;
   Outcome outcome;
 };
 
-class RequestFateTest : public RoutedNodeTest,
-                        public testing::WithParamInterface<FateCase> {};
+class RequestRetryTest : public RoutedNodeTest,
+                         public testing::WithParamInterface<RetryCase> {};
 
-// A request whose fate is unknown is sent again only if that does no harm; one
-// that the target shed was not run, whatever it is.
-TEST_P(RequestFateTest, DecidesWhatIsSentAgain) {
+// A request with an unknown outcome is retried only if it is repeatable; a
+// request that the target shed was not run and can always be retried.
+TEST_P(RequestRetryTest, RetriesOnlyIfSafe) {
   Start();
-  // A second target, at a node of the fleet that is not there: only its pick
-  // matters.
+  // A second target at a node that does not exist: only the pick matters.
   Call(GetParam().target);
   const auto attempt = Arrive();
   ASSERT_TRUE(attempt);
@@ -408,23 +405,23 @@
                         Reason::kTargetLost});
   }
   const auto answer = Next<AnswerCaller>();
-  // The only target was tried, so that the answer tells the fate.
+  // The only target was tried, so the answer shows the outcome.
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->outcome, GetParam().outcome);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Fates,
-    RequestFateTest,
+    RequestRetryTest,
     testing::Values(
-        FateCase{"ReadLost", "/read/1", false, true, Outcome::kUnknown},
-        FateCase{"BookingLost", "/book/1", false, false, Outcome::kUnknown},
-        FateCase{"BookingShed", "/book/1", true, true, Outcome::kNotRun}),
+        RetryCase{"ReadLost", "/read/1", false, true, Outcome::kUnknown},
+        RetryCase{"BookingLost", "/book/1", false, false, Outcome::kUnknown},
+        RetryCase{"BookingShed", "/book/1", true, true, Outcome::kNotRun}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// Symptom: nothing of a service is served for seconds, not even what needs no
-// other service. Sequence: a service that all targets call fails; all targets
-// answer 500. Cause: each owner takes its own target out of service.
+// Failure: a service serves nothing for seconds, not even requests that need no
+// other service. A service that all targets call fails, all targets answer with
+// status 500, and each owner takes its own target out of service.
 TEST_F(RoutedNodeTest, ATargetThatFailsStaysInService) {
   Start();
   for (int count = 0; count < 40; ++count) {
@@ -444,8 +441,8 @@
   }
 }
 
-// Guards against targets that idle while their nodes are restarted in turn: the
-// rest of the service lacks their slots.
+// Guards against targets that are idle while their nodes are restarted in turn,
+// so that the service lacks their slots.
 TEST_F(RoutedNodeTest, ALeavingNodesTargetTakesWorkForHalfOfTheLeaveTime) {
   Start();
   Deliver(ShutdownRequested{});
@@ -454,7 +451,7 @@
   ASSERT_TRUE(Arrive());
   AnswerProbe("i-1", 1);
   EXPECT_TRUE(Next<HandToTarget>());
-  // Others that have not learnt of the drain are refused, as not run.
+  // Entries that do not know of the drain are refused with outcome "not run".
   Advance(600ms);
   WorkHead head;
   head.service = kService;
@@ -466,21 +463,21 @@
   EXPECT_FALSE(Next<HandToTarget>());
 }
 
-// Symptom: callers lose their connections when a node is replaced. Sequence:
-// SIGTERM; callers have not yet seen that the node is not ready and send on.
-// Cause: the node refused them at once.
-TEST_F(RoutedNodeTest, ALeavingNodeServesCallersWhoHaveNotHeard) {
+// Failure: callers lose their connections when a node is replaced. After
+// SIGTERM callers that have not yet seen that the node is not ready send more
+// calls, and the node refuses them at once.
+TEST_F(RoutedNodeTest, ALeavingNodeServesCallersThatStillUseIt) {
   Start();
   Deliver(ShutdownRequested{});
   EXPECT_FALSE(m_logic.IsReady());
   Advance(1600ms);
   Call("/read/1");
-  // Its own target takes nothing new, and there is no other.
+  // Its own target accepts no new work, and there is no other.
   const auto answer = Next<AnswerCaller>();
   ASSERT_TRUE(answer);
   EXPECT_NE(answer->reason, Reason::kDraining);
   EXPECT_FALSE(Next<ExitProcess>());
-  // They keep coming, as callers do that have no other node to turn to.
+  // Calls continue, as from callers without another node.
   for (int count = 0; count < 4; ++count) {
     Advance(450ms);
     Call("/read/2");
@@ -488,8 +485,8 @@
     ASSERT_TRUE(next);
     EXPECT_NE(next->reason, Reason::kDraining) << count;
   }
-  // A call may take two seconds, and the node ends in less: what comes now
-  // could be cut.
+  // A call may take two seconds and the node exits earlier, so a call that
+  // arrives now could be aborted.
   Advance(600ms);
   Call("/read/3");
   const auto late = Next<AnswerCaller>();
@@ -499,7 +496,7 @@
   EXPECT_TRUE(Next<ExitProcess>());
 }
 
-TEST_F(RoutedNodeTest, ALeavingNodeThatNobodyCallsEndsEarly) {
+TEST_F(RoutedNodeTest, ALeavingNodeWithoutCallersExitsEarly) {
   Start();
   Deliver(ShutdownRequested{});
   Advance(2900ms);
@@ -508,9 +505,9 @@
   EXPECT_TRUE(Next<ExitProcess>());
 }
 
-// Symptom: a target is out of service for a moment after each lost answer.
-// Sequence: one answer is lost while nothing else runs there. Cause: a broken
-// exchange was taken for a crash.
+// Failure: a target is out of service briefly after each lost answer. One
+// answer is lost while no other request runs there, and the failed exchange
+// counts as a crash.
 TEST_F(RoutedNodeTest, ALostAnswerIsNoCrash) {
   Start();
   Call("/read/1");
--- a/source/unit_tests/core/node_logic/store_calls_test.cc
+++ b/source/unit_tests/core/node_logic/store_calls_test.cc
@@ -1,12 +1,12 @@
-// What whole fleets ask of the platform's table, from their start on.
+// Tests how many requests a fleet sends to the platform's table.
 //
-// The load: hundreds of nodes start within 0.3 s, all without knowledge of each
-// other, and each reads the members' rows, writes one of its own, reads the
-// operator's document and watches it from then on. The table is asked 8 to 30
-// times a node in 40 s, each change answers one watch a node, and while the
-// table turns a third of the nodes away each of these asks again every second.
-// So the cost of the table grows with the fleet although one answer would do
-// for all of it.
+// Load pattern: hundreds of nodes start within 0.3 s without knowledge of each
+// other. Each reads the member rows, writes its own row, reads the operator's
+// document and watches it from then on. Without coordination the table gets 8
+// to 30 requests per node in 40 s, each change answers one watch per node, and
+// while the table refuses a third of the nodes, each of these retries every
+// second. The cost of the table then grows with the number of nodes, although
+// one answer would be enough for all of them.
 
 #include <chrono>
 #include <cstddef>
@@ -31,15 +31,15 @@
 constexpr std::uint64_t kSeed = 20261203;
 constexpr std::size_t kZones = 6;
 
-// In force everywhere: what the fleet promises its operators.
+// Maximum time until a change is in force everywhere.
 constexpr Duration kInForce = 5s;
-// From the first process that is up until all are ready.
+// Time from the first running process until all nodes are ready.
 constexpr Duration kAllReady = 5s;
 
-// For a start with half a minute after it, and for each zone beside that and in
-// any half minute: what the fleet may cost the table's owners.
-constexpr std::size_t kCallsANode = 2;
-constexpr std::size_t kCallsAZone = 24;
+// Allowed table requests per node for a start and the following 30 s, and per
+// zone in addition to that and in any other 30 s.
+constexpr std::size_t kCallsPerNode = 2;
+constexpr std::size_t kCallsPerZone = 24;
 
 RouteConfig Routes() {
   Route read;
@@ -57,7 +57,7 @@
   return config;
 }
 
-// The document's text is its revision.
+// Decodes a document whose text is its revision number.
 class NumberDecoder : public RouteDocumentDecoder {
  public:
   std::variant<RouteDocument, RouteDocumentFault> Decode(
@@ -107,7 +107,7 @@
     return true;
   }
 
-  // Writes a document; whether it is in force everywhere in time.
+  // Writes a document; returns whether it is in force everywhere in time.
   bool Change(std::uint64_t revision) {
     m_fleet.WriteDocument(std::to_string(revision));
     for (Duration waited{}; waited < kInForce; waited += 250ms) {
@@ -125,7 +125,7 @@
   }
 
   static std::size_t Bound(std::size_t calls_a_node) {
-    return calls_a_node * GetParam() + kCallsAZone * kZones;
+    return calls_a_node * GetParam() + kCallsPerZone * kZones;
   }
 
   NumberDecoder m_decoder;
@@ -145,10 +145,10 @@
   RecordProperty("start_calls", static_cast<int>(start_calls));
   RecordProperty("calls", static_cast<int>(calls));
   EXPECT_LE(calls, Bound(0));
-  EXPECT_LE(start_calls + calls, Bound(kCallsANode));
+  EXPECT_LE(start_calls + calls, Bound(kCallsPerNode));
 }
 
-TEST_P(StoreCallsTest, ARestartOfAllCostsNoMore) {
+TEST_P(StoreCallsTest, AFleetRestartCostsNoMore) {
   m_fleet.Run(10s);
   CallsSinceLast();
   m_fleet.RestartAll(1s);
@@ -158,7 +158,7 @@
   EXPECT_TRUE(Change(2));
   const std::size_t calls = CallsSinceLast();
   RecordProperty("calls", static_cast<int>(calls));
-  EXPECT_LE(calls, Bound(kCallsANode));
+  EXPECT_LE(calls, Bound(kCallsPerNode));
 }
 
 class NewAddressesTest : public StoreCallsTest {
@@ -166,11 +166,10 @@
   NewAddressesTest() : StoreCallsTest(false) {}
 };
 
-// Symptom: after a restart nodes know nobody for many seconds. Sequence: all
-// processes are gone, and all come back at other addresses; the table is full
-// of rows that lead nowhere. Cause: each tried these one after the other, and
-// none told the table where it is.
-TEST_P(NewAddressesTest, AllMeetAfterARestartOfAll) {
+// Failure: after a restart the nodes do not find each other for many seconds.
+// All processes restart at other addresses, the table is full of outdated rows,
+// each node tries these one after the other, and none writes its own address.
+TEST_P(NewAddressesTest, AllNodesFindEachOtherAfterAFleetRestart) {
   m_fleet.Run(10s);
   m_fleet.RestartAll(1s);
   m_fleet.Run(1s + 10s);
@@ -180,11 +179,11 @@
   }
 }
 
-// Symptom: of all calls that the table charges, most are refused. Sequence:
-// the table turns a third of the nodes away for nine seconds, and a change
-// comes meanwhile. Cause: each of them asks again every second, although its
-// peers tell it what there is.
-TEST_P(StoreCallsTest, NodesThatAreTurnedAwayHearFromPeers) {
+// Failure: most of the requests that the table charges for are refused. The
+// table refuses a third of the nodes for nine seconds, a change is made
+// meanwhile, and each of these nodes retries every second although peers
+// deliver the change.
+TEST_P(StoreCallsTest, NodesRefusedByTheTableLearnFromPeers) {
   m_fleet.Run(10s);
   CallsSinceLast();
   for (std::size_t node = 0; node < m_fleet.size(); node += 3)
@@ -201,8 +200,8 @@
   EXPECT_LE(calls, Bound(0));
 }
 
-// Guards against nodes that know of a newer revision by hearsay and ask nobody
-// for it: the last one had it in force seconds after the others.
+// Guards against nodes that learn of a newer revision by gossip but do not
+// request it from a peer, so that it is in force there seconds later.
 TEST_P(StoreCallsTest, AChangeIsInForceEverywhereWithinASecond) {
   m_fleet.Run(10s);
   for (std::size_t node = 0; node < m_fleet.size(); node += 3)
