--- a/source/core/node_logic/node_brain.h
+++ b/source/core/node_logic/node_brain.h
@@ -12,9 +12,9 @@
 
 namespace bulrushmount {
 
-class NodeBrain {
+class NodeLogicInterface {
  public:
-  virtual ~NodeBrain() = default;
+  virtual ~NodeLogicInterface() = default;
 
   // Handles one event and returns the actions to carry out, in order. `now`
   // never decreases between calls.
--- a/source/core/node_logic/node_logic.h
+++ b/source/core/node_logic/node_logic.h
@@ -24,7 +24,7 @@
 class Node;
 }  // namespace detail
 
-class NodeLogic : public NodeBrain {
+class NodeLogic : public NodeLogicInterface {
  public:
   // `random` must outlive the object.
   NodeLogic(const NodeSettings& settings, RandomSource& random, TimePoint now);
--- a/source/core/transport/callers/entry_calls.cc
+++ b/source/core/transport/callers/entry_calls.cc
@@ -101,7 +101,7 @@
 
 EntryCalls::EntryCalls(boost::asio::any_io_executor executor,
                        NodeId self,
-                       const NodeBrain& brain,
+                       const NodeLogicInterface& brain,
                        NodeStreamClient& client,
                        WorkAcceptor& own_works,
                        EventSink& events,
--- a/source/core/transport/callers/entry_calls.h
+++ b/source/core/transport/callers/entry_calls.h
@@ -25,7 +25,7 @@
   // All must outlive the object.
   EntryCalls(boost::asio::any_io_executor executor,
              NodeId self,
-             const NodeBrain& brain,
+             const NodeLogicInterface& brain,
              NodeStreamClient& client,
              WorkAcceptor& own_works,
              EventSink& events,
@@ -67,7 +67,7 @@
 
   boost::asio::any_io_executor m_executor;
   NodeId m_self;
-  const NodeBrain& m_brain;
+  const NodeLogicInterface& m_brain;
   NodeStreamClient& m_client;
   WorkAcceptor& m_own_works;
   EventSink& m_events;
--- a/source/core/transport/node_driver.cc
+++ b/source/core/transport/node_driver.cc
@@ -23,7 +23,7 @@
 
 NodeDriver::NodeDriver(boost::asio::io_context& context,
                        const DriverSettings& settings,
-                       NodeBrain& brain,
+                       NodeLogicInterface& brain,
                        TableService& table,
                        RandomSource& random)
     : m_context(context),
--- a/source/core/transport/node_driver.h
+++ b/source/core/transport/node_driver.h
@@ -62,7 +62,7 @@
   // All must outlive the driver.
   NodeDriver(boost::asio::io_context& context,
              const DriverSettings& settings,
-             NodeBrain& brain,
+             NodeLogicInterface& brain,
              TableService& table,
              RandomSource& random);
   ~NodeDriver() override;
@@ -123,7 +123,7 @@
 
   boost::asio::io_context& m_context;
   DriverSettings m_settings;
-  NodeBrain& m_brain;
+  NodeLogicInterface& m_brain;
   TableService& m_table;
 
   // Handed in while actions were carried out.
--- a/source/unit_tests/core/transport/transport_test_support.h
+++ b/source/unit_tests/core/transport/transport_test_support.h
@@ -97,7 +97,7 @@
 RawTarget::OnBytes Always(std::string answer);
 
 // Relays every call to one owner and takes every work. It keeps the events.
-class RelayBrain : public NodeBrain {
+class RelayBrain : public NodeLogicInterface {
  public:
   std::vector<NodeAction> Handle(TimePoint now, NodeEvent event) override;
   TimePoint NextWakeup() const override { return TimePoint::max(); }
