--- a/source/core/node_logic/node_logic.h
+++ b/source/core/node_logic/node_logic.h
@@ -13,7 +13,7 @@
 #include "core/common/time.h"
 #include "core/node_logic/actions.h"
 #include "core/node_logic/events.h"
-#include "core/node_logic/node_brain.h"
+#include "core/node_logic/node_logic_interface.h"
 #include "core/node_logic/node_settings.h"
 #include "core/reporting/burn_report.h"
 #include "core/routes/route_document.h"
--- a/source/core/node_logic/node_brain.h
+++ b/source/core/node_logic/node_logic_interface.h
@@ -1,8 +1,8 @@
 // Interface of NodeLogic for the driver of the daemon, which can be tested with
 // a scripted implementation.
 
-#ifndef BULRUSHMOUNT_CORE_NODE_LOGIC_NODE_BRAIN_H_
-#define BULRUSHMOUNT_CORE_NODE_LOGIC_NODE_BRAIN_H_
+#ifndef BULRUSHMOUNT_CORE_NODE_LOGIC_NODE_LOGIC_INTERFACE_H_
+#define BULRUSHMOUNT_CORE_NODE_LOGIC_NODE_LOGIC_INTERFACE_H_
 
 #include <vector>
 
@@ -34,4 +34,4 @@
 
 }  // namespace bulrushmount
 
-#endif  // BULRUSHMOUNT_CORE_NODE_LOGIC_NODE_BRAIN_H_
+#endif  // BULRUSHMOUNT_CORE_NODE_LOGIC_NODE_LOGIC_INTERFACE_H_
--- a/source/core/transport/callers/entry_calls.h
+++ b/source/core/transport/callers/entry_calls.h
@@ -13,7 +13,7 @@
 #include "core/common/ids.h"
 #include "core/common/time.h"
 #include "core/node_logic/actions.h"
-#include "core/node_logic/node_brain.h"
+#include "core/node_logic/node_logic_interface.h"
 #include "core/transport/callers/caller_server.h"
 #include "core/transport/event_sink.h"
 #include "core/transport/peers/node_stream_client.h"
--- a/source/core/transport/node_driver.h
+++ b/source/core/transport/node_driver.h
@@ -15,7 +15,7 @@
 #include "core/common/endpoint.h"
 #include "core/common/ids.h"
 #include "core/common/random.h"
-#include "core/node_logic/node_brain.h"
+#include "core/node_logic/node_logic_interface.h"
 #include "core/store/table_service.h"
 #include "core/transport/callers/caller_server.h"
 #include "core/transport/callers/entry_calls.h"
--- a/source/unit_tests/core/transport/transport_test_support.h
+++ b/source/unit_tests/core/transport/transport_test_support.h
@@ -18,7 +18,7 @@
 #include <boost/asio/ip/tcp.hpp>
 
 #include "core/common/random.h"
-#include "core/node_logic/node_brain.h"
+#include "core/node_logic/node_logic_interface.h"
 #include "core/store/table_service.h"
 #include "core/transport/node_driver.h"
 
