--- a/source/core/node_logic/node.cc
+++ b/source/core/node_logic/node.cc
@@ -419,7 +419,7 @@
   if (m_settings.leave_time <= Duration::zero())
     return Duration::zero();
   return std::max(m_settings.leave_time,
-                  m_settings.longest_leave - kLastMoments);
+                  m_settings.longest_leave - kFinalDrainTime);
 }
 
 // Callers switch to other nodes only after they have seen that this one is not
--- a/source/core/node_logic/node_settings.h
+++ b/source/core/node_logic/node_settings.h
@@ -18,7 +18,7 @@
 
 // The last part of NodeSettings::longest_leave, in which no new requests are
 // accepted, so that running ones can end and the process exits by itself.
-inline constexpr Duration kLastMoments = std::chrono::milliseconds(800);
+inline constexpr Duration kFinalDrainTime = std::chrono::milliseconds(800);
 // Time before the end of longest_leave at which the node exits regardless of
 // requests in progress.
 inline constexpr Duration kEndMargin = std::chrono::milliseconds(200);
--- a/source/core/transport/node_daemon.cc
+++ b/source/core/transport/node_daemon.cc
@@ -69,7 +69,7 @@
   // its last bytes.
   driver.longest_leave = node.longest_leave - kEndMargin / 2;
   if (node.leave_time > Duration::zero())
-    driver.leave_time = node.longest_leave - kLastMoments;
+    driver.leave_time = node.longest_leave - kFinalDrainTime;
   const TransportSettings& transport = settings.transport;
   driver.callers.max_head = transport.max_head_bytes;
   driver.callers.max_buffered_body = transport.max_buffered_body_bytes;
