--- a/source/core/node_logic/node.cc
+++ b/source/core/node_logic/node.cc
@@ -194,7 +194,7 @@
   if (!m_leaving_since || m_has_exited)
     return TimePoint::max();
   if (m_has_announced_leave)
-    return *m_leaving_since + m_settings.longest_leave - kEndMargin;
+    return *m_leaving_since + m_settings.longest_leave - kExitMargin;
   if (!m_owner.is_leaving())
     return OwnerDrainTime();
   return std::max(*m_leaving_since + m_settings.leave_time,
@@ -411,7 +411,7 @@
 TimePoint Node::LastAnswerDeadline(TimePoint leaving_since) const {
   if (m_settings.leave_time <= Duration::zero())
     return TimePoint::max();
-  return leaving_since + m_settings.longest_leave - kEndMargin;
+  return leaving_since + m_settings.longest_leave - kExitMargin;
 }
 
 // Maximum time for which callers are served after a shutdown request.
@@ -449,7 +449,7 @@
   if (!m_leaving_since || m_has_exited)
     return;
   const Duration since = now - *m_leaving_since;
-  if (since >= m_settings.longest_leave - kEndMargin) {
+  if (since >= m_settings.longest_leave - kExitMargin) {
     m_has_exited = true;
     m_actions.Push(ExitProcess{});
     return;
--- a/source/core/node_logic/node_settings.h
+++ b/source/core/node_logic/node_settings.h
@@ -21,7 +21,7 @@
 inline constexpr Duration kFinalDrainTime = std::chrono::milliseconds(800);
 // Time before the end of longest_leave at which the node exits regardless of
 // requests in progress.
-inline constexpr Duration kEndMargin = std::chrono::milliseconds(200);
+inline constexpr Duration kExitMargin = std::chrono::milliseconds(200);
 
 struct NodeSettings {
   NodeId id;
--- a/source/core/transport/node_daemon.cc
+++ b/source/core/transport/node_daemon.cc
@@ -67,7 +67,7 @@
   driver.min_progress_time = node.min_progress_time;
   // The node's logic ends what is under way before that; what is left is for
   // its last bytes.
-  driver.longest_leave = node.longest_leave - kEndMargin / 2;
+  driver.longest_leave = node.longest_leave - kExitMargin / 2;
   if (node.leave_time > Duration::zero())
     driver.leave_time = node.longest_leave - kFinalDrainTime;
   const TransportSettings& transport = settings.transport;
