--- a/source/core/node_logic/entry_side.cc
+++ b/source/core/node_logic/entry_side.cc
@@ -26,13 +26,14 @@
   dispatcher.zone = settings.zone;
   dispatcher.zone_kilobyte = settings.zone_kilobyte;
   dispatcher.max_attempts = settings.max_attempts;
-  dispatcher.is_refusal_free = settings.is_refusal_free;
+  dispatcher.refusals_cost_no_retry = settings.refusals_cost_no_retry;
   const PolicySwitches& policies = settings.policies;
   dispatcher.selective_attempts =
       policies.selective_starts ? settings.selective_attempts : 0;
   dispatcher.accepts_near_best = policies.best_reported_starts;
   dispatcher.leaves_silent_owners = policies.leave_silent;
-  dispatcher.bounds_refusals = settings.is_refusal_free && policies.ask_budget;
+  dispatcher.bounds_refusals =
+      settings.refusals_cost_no_retry && policies.ask_budget;
   dispatcher.has_objectives = settings.has_route_document;
   return dispatcher;
 }
@@ -122,7 +123,7 @@
   }
   // Only where refusals cost no retry; otherwise the retry budget limits the
   // attempts.
-  if (settings.is_refusal_free && settings.policies.throttle) {
+  if (settings.refusals_cost_no_retry && settings.policies.throttle) {
     auto throttle = std::make_unique<ThrottleFilter>(m_parts.random);
     m_throttle = throttle.get();
     m_pipeline.AddFilter(std::move(throttle));
--- a/source/core/node_logic/node_settings.h
+++ b/source/core/node_logic/node_settings.h
@@ -82,7 +82,7 @@
 
   // Only attempts that were handed to a target count against the retry budget,
   // since a refusal by an owner costs its target nothing.
-  bool is_refusal_free = false;
+  bool refusals_cost_no_retry = false;
 
   // Number of owners tried for a fast start before the call takes the fastest
   // start that was offered; 0 where targets do not report their speed.
--- a/source/core/pipeline/dispatcher.cc
+++ b/source/core/pipeline/dispatcher.cc
@@ -171,7 +171,7 @@
 // If a retry is reserved for each attempt, it belongs to the attempt and cannot
 // be spent while the attempt is in progress.
 bool Dispatcher::MayLeaveSilentOwner(const Call& call) const {
-  return m_settings.leaves_silent_owners && m_settings.is_refusal_free &&
+  return m_settings.leaves_silent_owners && m_settings.refusals_cost_no_retry &&
          HasOtherOwners(call) &&
          MayRetryUnknownOutcome(call, Reason::kNodeLost);
 }
@@ -296,7 +296,7 @@
 
 bool Dispatcher::ReserveRetry(TimePoint now, const Call& call) {
   return call.attempts_made < m_settings.max_attempts && HasOtherOwners(call) &&
-         (m_settings.is_refusal_free ||
+         (m_settings.refusals_cost_no_retry ||
           m_parts.retries.Reserve(now, call.head.service));
 }
 
@@ -374,7 +374,7 @@
 // crash: sending it on could crash the next target too.
 bool Dispatcher::MayRetryUnknownOutcome(const Call& call, Reason reason) const {
   const bool may_have_crashed_target =
-      reason == Reason::kTargetLost && !m_settings.is_refusal_free;
+      reason == Reason::kTargetLost && !m_settings.refusals_cost_no_retry;
   return call.terms.kind.is_repeatable && !call.may_have_run &&
          !call.attempt->is_answer_begun && call.head.is_body_buffered &&
          !may_have_crashed_target && !call.holds_permit;
@@ -388,7 +388,7 @@
   call.attempt.reset();
   if (!has_retry)
     return false;
-  if (m_settings.is_refusal_free)
+  if (m_settings.refusals_cost_no_retry)
     return may_retry && now < call.deadline &&
            (!reached_target || TakeRetry(now, call));
   if (may_retry && now < call.deadline) {
--- a/source/core/pipeline/dispatcher.h
+++ b/source/core/pipeline/dispatcher.h
@@ -46,7 +46,7 @@
   Duration zone_kilobyte{};
   std::uint32_t max_attempts = 4;
   // See NodeSettings.
-  bool is_refusal_free = false;
+  bool refusals_cost_no_retry = false;
   // Attempts carry the time left of the latency objective.
   bool has_objectives = false;
   // Number of owners tried for a fast start before the call takes the fastest
--- a/source/unit_tests/core/node_logic/cold_fleet_test.cc
+++ b/source/unit_tests/core/node_logic/cold_fleet_test.cc
@@ -84,7 +84,7 @@
     options.settings.has_route_document = true;
     options.settings.needs_crash_to_suspect = true;
     options.settings.do_entries_judge_errors = true;
-    options.settings.is_refusal_free = true;
+    options.settings.refusals_cost_no_retry = true;
     options.settings.selective_attempts = 4;
     options.settings.max_attempts = 6;
     options.settings.cold_start = {1.5, 8};
--- a/source/unit_tests/core/node_logic/nested_overload_test.cc
+++ b/source/unit_tests/core/node_logic/nested_overload_test.cc
@@ -84,7 +84,7 @@
   settings.has_route_document = true;
   settings.needs_crash_to_suspect = true;
   settings.do_entries_judge_errors = true;
-  settings.is_refusal_free = true;
+  settings.refusals_cost_no_retry = true;
   settings.selective_attempts = 4;
   settings.max_attempts = 6;
   return settings;
--- a/source/unit_tests/core/pipeline/dispatcher_test.cc
+++ b/source/unit_tests/core/pipeline/dispatcher_test.cc
@@ -107,7 +107,7 @@
     DispatcherSettings settings;
     settings.zone = kHere;
     settings.zone_kilobyte = 2ms;
-    settings.is_refusal_free = true;
+    settings.refusals_cost_no_retry = true;
     settings.has_objectives = true;
     settings.selective_attempts = kOwners;
     settings.bounds_refusals = true;
