--- a/source/core/node_logic/owner_side.h
+++ b/source/core/node_logic/owner_side.h
@@ -23,7 +23,7 @@
 #include "core/node_logic/failed_exchanges.h"
 #include "core/node_logic/node_settings.h"
 #include "core/node_logic/owned_work.h"
-#include "core/node_logic/target_inquiry.h"
+#include "core/node_logic/target_health_checker.h"
 #include "core/pipeline/dispatcher.h"
 #include "core/quarantine/quarantine.h"
 #include "core/reporting/traffic_metrics.h"
--- a/source/core/node_logic/target_inquiry.h
+++ b/source/core/node_logic/target_health_checker.h
@@ -2,8 +2,8 @@
 // reported may be admitted, and how fast it currently is. Holds the works that
 // wait for a speed probe.
 
-#ifndef BULRUSHMOUNT_CORE_NODE_LOGIC_TARGET_INQUIRY_H_
-#define BULRUSHMOUNT_CORE_NODE_LOGIC_TARGET_INQUIRY_H_
+#ifndef BULRUSHMOUNT_CORE_NODE_LOGIC_TARGET_HEALTH_CHECKER_H_
+#define BULRUSHMOUNT_CORE_NODE_LOGIC_TARGET_HEALTH_CHECKER_H_
 
 #include <cstdint>
 #include <optional>
@@ -57,4 +57,4 @@
 
 }  // namespace bulrushmount::detail
 
-#endif  // BULRUSHMOUNT_CORE_NODE_LOGIC_TARGET_INQUIRY_H_
+#endif  // BULRUSHMOUNT_CORE_NODE_LOGIC_TARGET_HEALTH_CHECKER_H_
--- a/source/core/node_logic/target_inquiry.cc
+++ b/source/core/node_logic/target_inquiry.cc
@@ -1,6 +1,6 @@
 // Implements `target_health_checker.h`.
 
-#include "core/node_logic/target_inquiry.h"
+#include "core/node_logic/target_health_checker.h"
 
 #include <chrono>
 #include <utility>
