--- a/source/core/evacuation/evacuation_table.cc
+++ b/source/core/evacuation/evacuation_table.cc
@@ -1,4 +1,4 @@
-// Part of `evacuation_table.h`.
+// Implements `evacuation_table.h`.
 
 #include "core/evacuation/evacuation_table.h"
 
@@ -54,9 +54,10 @@
   m_epoch = epoch;
 }
 
-// Whether the state is of an earlier epoch, and the table may not have its row
-// back yet.
-bool EvacuationTable::IsHeld(TimePoint now, const State& state) const {
+// Whether the state is from an earlier epoch and its row may not have been
+// written again yet.
+bool EvacuationTable::IsWithinRestoreHold(TimePoint now,
+                                          const State& state) const {
   return m_restored_at && state.position.epoch < m_epoch &&
          now - *m_restored_at < m_settings.restore_hold;
 }
@@ -68,7 +69,8 @@
   const bool has_room = m_zones.contains(zone) || m_zones.size() < kMaxZones;
   if (is_known && has_room)
     return true;
-  if (m_refused.size() < kMaxZones && m_refused.insert(zone).second) {
+  if (m_rejected_zones.size() < kMaxZones &&
+      m_rejected_zones.insert(zone).second) {
     LogLine(LogLevel::kError, "evacuation.zone_ignored")
         .Add("zone", zone)
         .Add("fault", is_known ? "too many evacuated zones" : "unknown zone");
@@ -95,7 +97,7 @@
   return has_changed;
 }
 
-// Ends evacuations whose rows were not there as of the read.
+// Ends evacuations whose rows are missing from the read.
 bool EvacuationTable::RemoveMissing(TimePoint now, const EvacuationRead& read) {
   bool has_changed = false;
   for (const ZoneEvacuation& known : Report().zones) {
@@ -103,7 +105,8 @@
                                       [&known](const ZoneEvacuation& zone) {
                                         return zone.zone == known.zone;
                                       });
-    if (is_there || !known.is_evacuated || IsHeld(now, m_zones.at(known.zone)))
+    if (is_there || !known.is_evacuated ||
+        IsWithinRestoreHold(now, m_zones.at(known.zone)))
       continue;
     has_changed |= Merge({known.zone, false, read.as_of});
   }
--- a/source/core/evacuation/evacuation_types.h
+++ b/source/core/evacuation/evacuation_types.h
@@ -1,4 +1,4 @@
-// The operator's evacuations of availability zones, as values.
+// Value types for the operator's evacuations of availability zones.
 
 #ifndef BULRUSHMOUNT_CORE_EVACUATION_EVACUATION_TYPES_H_
 #define BULRUSHMOUNT_CORE_EVACUATION_EVACUATION_TYPES_H_
@@ -10,8 +10,8 @@
 
 namespace bulrushmount {
 
-// Whether a zone is evacuated, and the change of the table that says so. Of two
-// states of a zone the one with the later position holds.
+// Whether a zone is evacuated, and the table change that set it. Of two states
+// of a zone the one with the later position applies.
 struct ZoneEvacuation {
   AvailabilityZone zone;
   bool is_evacuated = false;
@@ -21,15 +21,15 @@
                          const ZoneEvacuation&) = default;
 };
 
-// What one answer of the table says of evacuations.
+// The evacuations in one reply of the table.
 struct EvacuationRead {
   TablePosition as_of;
-  // `zones` holds every evacuated zone; otherwise only what has changed.
+  // If true, `zones` holds every evacuated zone; otherwise only changed zones.
   bool is_complete = false;
   std::vector<ZoneEvacuation> zones;
 };
 
-// All that one node knows of evacuations, for its peers.
+// All evacuations that one node knows, sent to its peers.
 struct EvacuationReport {
   TableEpoch epoch;
   // Zones that are or were evacuated.
--- a/source/unit_tests/core/evacuation/evacuation_table_test.cc
+++ b/source/unit_tests/core/evacuation/evacuation_table_test.cc
@@ -38,7 +38,7 @@
   EvacuationTable m_table{EvacuationSettings{{kZone, kOther}}};
 };
 
-// Guards against work in an evacuated zone right after a node's start.
+// Guards against requests in an evacuated zone right after the start of a node.
 TEST_F(EvacuationTableTest, ServesNoZoneBeforeACompleteRead) {
   EXPECT_FALSE(m_table.MayServe(kZone));
   m_table.OnRead(m_now, Change({kOther, true, At(1, 5)}));
@@ -61,14 +61,15 @@
   EXPECT_FALSE(m_table.IsEvacuated(kZone));
 }
 
-// Guards against a delayed answer that takes an evacuation back.
+// Guards against a delayed reply of the table that reverts an evacuation.
 TEST_F(EvacuationTableTest, IgnoresAnOlderRead) {
   m_table.OnRead(m_now, Scan(At(1, 6), {{kZone, true, At(1, 6)}}));
   EXPECT_FALSE(m_table.OnRead(m_now, Scan(At(1, 5), {})));
   EXPECT_TRUE(m_table.IsEvacuated(kZone));
 }
 
-// Guards against an evacuation that a restored copy of the table lacks.
+// Guards against the loss of an evacuation that a restored copy of the table
+// lacks.
 TEST_F(EvacuationTableTest, HoldsAnEvacuationAcrossARestore) {
   m_table.OnRead(m_now, Scan(At(1, 60), {{kZone, true, At(1, 60)}}));
   m_table.OnRead(m_now + 1s, Scan(At(2, 40), {}));
@@ -95,14 +96,14 @@
   EXPECT_TRUE(m_table.IsEvacuated(kZone));
 }
 
-// Guards against a delayed answer of the table from before its restore.
+// Guards against a delayed reply of the table from before its restore.
 TEST_F(EvacuationTableTest, IgnoresAnEarlierEpoch) {
   m_table.OnRead(m_now, Scan(At(2, 40), {{kZone, true, At(2, 40)}}));
   EXPECT_FALSE(m_table.OnRead(m_now, Scan(At(1, 90), {})));
   EXPECT_TRUE(m_table.IsEvacuated(kZone));
 }
 
-TEST_F(EvacuationTableTest, LearnsOfARestoreFromAPeer) {
+TEST_F(EvacuationTableTest, DetectsARestoreFromAPeerReport) {
   m_table.OnRead(m_now, Scan(At(1, 60), {{kZone, true, At(1, 60)}}));
   m_table.OnPeerReport(m_now, {TableEpoch(2), {}});
   EXPECT_EQ(m_table.epoch(), TableEpoch(2));
@@ -116,7 +117,7 @@
   EXPECT_FALSE(m_table.IsEvacuated(unknown));
 }
 
-TEST(EvacuationTableBoundTest, KeepsAtMostTheBound) {
+TEST(EvacuationTableBoundTest, KeepsAtMostTheMaximumNumberOfZones) {
   EvacuationTable table{EvacuationSettings{}};
   std::vector<ZoneEvacuation> zones;
   for (std::uint64_t i = 1; i <= 2 * EvacuationTable::kMaxZones; ++i)
@@ -125,8 +126,8 @@
   EXPECT_EQ(table.Report().zones.size(), EvacuationTable::kMaxZones);
 }
 
-// Reports that come in any order, late or twice leave all nodes with the same
-// state: that of the newest change of each zone.
+// Reports that arrive in any order, late or twice, lead to the same state on
+// all nodes: that of the newest change of each zone.
 RC_GTEST_PROP(EvacuationTableProperty, MergesInAnyOrder, ()) {
   const TimePoint now(1s);
   const auto count = *rc::gen::inRange(1, 20);
@@ -135,7 +136,7 @@
     const auto epoch = *rc::gen::inRange<std::uint64_t>(1, 3);
     const auto version = *rc::gen::inRange<std::uint64_t>(1, 40);
     const bool is_first = *rc::gen::arbitrary<bool>();
-    // One change of the table says one thing of a zone.
+    // Each table change has exactly one state per zone.
     const bool is_evacuated = (epoch + version) % 2 == 0;
     reports.push_back(
         {TableEpoch(epoch),
