--- a/source/core/routes/route_document.h
+++ b/source/core/routes/route_document.h
@@ -1,4 +1,5 @@
-// Reads the operator's document, whatever its format.
+// Interface of decoders for the operator's routing document, independent of its
+// format.
 
 #ifndef BULRUSHMOUNT_CORE_ROUTES_ROUTE_DOCUMENT_H_
 #define BULRUSHMOUNT_CORE_ROUTES_ROUTE_DOCUMENT_H_
@@ -12,14 +13,14 @@
 
 namespace bulrushmount {
 
-// A document that was read whole.
+// A successfully decoded document.
 struct RouteDocument {
-  // The operator's version: rises with each change, not always by one.
+  // The operator's version: increases with each change, not always by one.
   Revision revision;
   RouteConfig config;
 };
 
-// Why a document cannot be taken: one line for the log.
+// Why a document is rejected, as one line for the log.
 struct RouteDocumentFault {
   std::string message;
 };
@@ -28,7 +29,7 @@
  public:
   virtual ~RouteDocumentDecoder() = default;
 
-  // All or nothing: a document with one fault is refused as a whole.
+  // A document with any fault is rejected as a whole.
   virtual std::variant<RouteDocument, RouteDocumentFault> Decode(
       std::string_view text) const = 0;
 };
--- a/source/core/routes/route_table.cc
+++ b/source/core/routes/route_table.cc
@@ -1,4 +1,4 @@
-// Part of `route_table.h`.
+// Implements `route_table.h`.
 
 #include "core/routes/route_table.h"
 
@@ -20,11 +20,11 @@
 }  // namespace
 
 void RouteTable::Replace(RouteConfig config) {
-  std::vector<std::vector<double>> owed;
+  std::vector<std::vector<double>> credits;
   std::unordered_map<std::string, std::vector<std::size_t>> hosts;
   for (std::size_t index = 0; index < config.routes.size(); ++index) {
     const Route& route = config.routes[index];
-    owed.push_back(OwedBefore(route));
+    credits.push_back(CurrentCredits(route));
     hosts[route.host].push_back(index);
   }
   for (auto& [host, routes] : hosts) {
@@ -37,19 +37,19 @@
   m_services.clear();
   for (std::size_t index = 0; index < config.services.size(); ++index)
     m_services.emplace(config.services[index].name, index);
-  m_owed = std::move(owed);
+  m_credits = std::move(credits);
   m_hosts = std::move(hosts);
   m_config = std::move(config);
   m_is_known = true;
 }
 
-std::vector<double> RouteTable::OwedBefore(const Route& route) const {
+std::vector<double> RouteTable::CurrentCredits(const Route& route) const {
   const auto known = m_hosts.find(route.host);
   if (known != m_hosts.end()) {
     for (const std::size_t index : known->second) {
       const Route& before = m_config.routes[index];
       if (before.name == route.name && before.shares == route.shares)
-        return m_owed[index];
+        return m_credits[index];
     }
   }
   return std::vector<double>(route.shares.size(), 0.0);
@@ -94,15 +94,15 @@
   const std::vector<RouteShare>& shares = m_config.routes[route].shares;
   if (shares.size() == 1)
     return 0;
-  std::vector<double>& owed = m_owed[route];
+  std::vector<double>& credits = m_credits[route];
   double total = 0;
   for (std::size_t index = 0; index < shares.size(); ++index) {
-    owed[index] += shares[index].weight;
+    credits[index] += shares[index].weight;
     total += shares[index].weight;
   }
-  const auto most = std::max_element(owed.begin(), owed.end());
+  const auto most = std::max_element(credits.begin(), credits.end());
   *most -= total;
-  return static_cast<std::size_t>(most - owed.begin());
+  return static_cast<std::size_t>(most - credits.begin());
 }
 
 }  // namespace bulrushmount
--- a/source/unit_tests/core/routes/route_table_test.cc
+++ b/source/unit_tests/core/routes/route_table_test.cc
@@ -1,5 +1,5 @@
-// The routing table against a naive search of all routes, and the turns that a
-// route's shares take.
+// Compares the routing table with a linear search of all routes, and tests the
+// weighted round robin over the shares of a route.
 
 #include "core/routes/route_table.h"
 
@@ -83,7 +83,7 @@
         MatchCase{"UnknownHost", "c.example", "/books/7", nullptr}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(RouteTableTest, KnowsNothingBeforeTheFirstDocument) {
+TEST(RouteTableTest, IsUnknownBeforeTheFirstDocument) {
   RouteTable table;
   EXPECT_FALSE(table.is_known());
   EXPECT_FALSE(table.Match("a.example", "/"));
@@ -99,7 +99,7 @@
   EXPECT_EQ(table.FindService(ServiceName("nobody")), nullptr);
 }
 
-RC_GTEST_PROP(RouteTableProperty, AgreesWithASearchOfAllRoutes, ()) {
+RC_GTEST_PROP(RouteTableProperty, AgreesWithALinearSearch, ()) {
   const std::array<std::string, 2> hosts = {"a", "b"};
   const std::array<std::string, 6> prefixes = {"/",       "/p/", "/p/q/",
                                                "/p/q/r/", "/q/", "/pp/"};
@@ -129,9 +129,9 @@
     RC_ASSERT(*match->route == *naive);
 }
 
-// Symptom: a service that was given a tenth of a route's requests got a fifth.
-// Sequence: few requests, each drawn at random by the weights. Cause: a draw
-// strays from the weights by the root of the number of requests.
+// Failure: a service with a tenth of the weight gets a fifth of the requests.
+// With few requests, a random selection deviates from the weights by the square
+// root of their number.
 TEST(RouteTableTest, SharesStayWithinOneRequestOfTheirWeights) {
   RouteConfig config;
   config.routes = {
@@ -146,14 +146,14 @@
   }
 }
 
-TEST(RouteTableTest, ANewDocumentKeepsTheTurnsOfAnUnchangedRoute) {
+TEST(RouteTableTest, ANewDocumentKeepsTheRoundRobinStateOfAnUnchangedRoute) {
   RouteConfig config;
   config.routes = {
       MakeRoute("split", "a", "/", {ShareOf("x", 1), ShareOf("y", 1)})};
   RouteTable table;
   std::map<std::string, int> counts;
-  // With its turns begun anew, each document would give its first request to
-  // the same share.
+  // If the round-robin state were reset, each document would assign its first
+  // request to the same share.
   for (int document = 0; document < 20; ++document) {
     table.Replace(config);
     ++counts[table.Match("a", "/")->service->value()];
