--- a/source/core/admission/admission.cc
+++ b/source/core/admission/admission.cc
@@ -197,8 +197,8 @@
   if (!request.is_last_attempt)
     return expected;
   const double part = m_service_times.has_samples()
-                          ? m_settings.least_wait_of_time_left
-                          : m_settings.least_wait_before_first_answer;
+                          ? m_settings.min_wait_of_time_left
+                          : m_settings.min_wait_before_first_answer;
   return std::max(expected, FromSeconds(part * ToSeconds(request.time_left)));
 }
 
--- a/source/core/admission/admission.h
+++ b/source/core/admission/admission.h
@@ -85,11 +85,11 @@
   // refused caller retries after a second or never, so refusing it after
   // milliseconds of the seconds it has saves nothing. The fraction is small
   // because under a lasting overload every last attempt waits this long.
-  double least_wait_of_time_left = 0.02;
+  double min_wait_of_time_left = 0.02;
   // The same before the target's first answer. After all nodes restart, owners
   // have no service times, and would refuse callers within milliseconds that
   // have seconds left.
-  double least_wait_before_first_answer = 0.25;
+  double min_wait_before_first_answer = 0.25;
   // Fraction of recent time with waiting works above which the load counts as a
   // lasting overload. Long waits help in a burst, but not then.
   double overload_fraction = 0.75;
--- a/source/core/target_state/target_lifecycle.cc
+++ b/source/core/target_state/target_lifecycle.cc
@@ -40,13 +40,13 @@
 }
 
 struct TargetLifecycle::Impl {
-  explicit Impl(const TargetLifecycleSettings& life_settings)
-      : settings(life_settings),
-        evidence(life_settings.thresholds),
+  explicit Impl(const TargetLifecycleSettings& lifecycle_settings)
+      : settings(lifecycle_settings),
+        evidence(lifecycle_settings.thresholds),
         cold_start(TimePoint(),
-                   life_settings.warmup,
-                   life_settings.warm_answers),
-        suspicion_duration(life_settings.shortest_suspicion) {}
+                   lifecycle_settings.warmup,
+                   lifecycle_settings.warm_answers),
+        suspicion_duration(lifecycle_settings.shortest_suspicion) {}
 
   void HandleEvent(TargetLifecycleEvent event, std::string_view cause);
   ColdStart NewColdStart(TimePoint now) const;
--- a/source/unit_tests/core/admission/disturbed_load_test.cc
+++ b/source/unit_tests/core/admission/disturbed_load_test.cc
@@ -268,7 +268,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Words,
+    Reports,
     SlowdownBaselineTest,
     testing::Values(SlowdownBaselineCase{"Nothing", {}, 1},
                     SlowdownBaselineCase{"OnlyCold", {2, 14, 2}, 2},
