--- a/source/core/reporting/burn_report.cc
+++ b/source/core/reporting/burn_report.cc
@@ -85,11 +85,11 @@
 }
 
 BurnAlert AlertOf(const BurnSeries& series) {
-  if (BurnsIn(series, BurnWindow::kFiveMinutes, kFastBurn) &&
-      BurnsIn(series, BurnWindow::kOneHour, kFastBurn))
+  if (BurnsIn(series, BurnWindow::kFiveMinutes, kFastBurnRate) &&
+      BurnsIn(series, BurnWindow::kOneHour, kFastBurnRate))
     return BurnAlert::kFast;
-  if (BurnsIn(series, BurnWindow::kThirtyMinutes, kSlowBurn) &&
-      BurnsIn(series, BurnWindow::kSixHours, kSlowBurn))
+  if (BurnsIn(series, BurnWindow::kThirtyMinutes, kSlowBurnRate) &&
+      BurnsIn(series, BurnWindow::kSixHours, kSlowBurnRate))
     return BurnAlert::kSlow;
   return BurnAlert::kNone;
 }
--- a/source/core/reporting/burn_report.h
+++ b/source/core/reporting/burn_report.h
@@ -1,5 +1,5 @@
-// The report on service-level burn, as a value: one node's part, or several
-// parts merged by the node that was asked.
+// The report on error budget burn as a value type: one node's part, or the
+// merged parts of several nodes.
 
 #ifndef BULRUSHMOUNT_CORE_REPORTING_BURN_REPORT_H_
 #define BULRUSHMOUNT_CORE_REPORTING_BURN_REPORT_H_
@@ -50,8 +50,8 @@
   friend bool operator==(const OutcomeCounts&, const OutcomeCounts&) = default;
 };
 
-// One filled cell of a latency histogram. Cells are numbered alike on all
-// nodes, see `LatencyCellUpperBound`.
+// One non-empty cell of a latency histogram. All nodes use the same cells, see
+// `LatencyCellUpperBound`.
 struct LatencyCell {
   std::uint32_t index = 0;
   std::uint64_t count = 0;
@@ -59,8 +59,8 @@
   friend bool operator==(const LatencyCell&, const LatencyCell&) = default;
 };
 
-// Latency cells: cell 0 is below 10 us, then 24 to the decade up to 1,000 s,
-// and the last is all above.
+// Latency cells: cell 0 is below 10 us, then 24 per decade up to 1,000 s, and
+// the last cell has everything above.
 inline constexpr std::uint32_t kLatencyCellsPerDecade = 24;
 inline constexpr std::uint32_t kLatencyDecades = 8;
 inline constexpr std::uint32_t kLatencyCells =
@@ -68,8 +68,7 @@
 inline constexpr Duration kLowestLatency = std::chrono::microseconds(10);
 inline constexpr Duration kHighestLatency = std::chrono::seconds(1000);
 
-// The time below which all of the cell's latencies lie; Duration::max() for
-// the last cell.
+// The upper bound of the cell's latencies; Duration::max() for the last cell.
 Duration LatencyCellUpperBound(std::uint32_t index);
 
 struct BurnSeries {
@@ -79,7 +78,7 @@
   LatencyObjective objective;
   OutcomeCounts outcomes;
   std::array<EventCounts, kBurnWindowCount> windows;
-  // Of answered calls, in the order of the index, without empty cells.
+  // Latencies of answered calls, ordered by index, without empty cells.
   std::vector<LatencyCell> latencies;
 
   const EventCounts& In(BurnWindow window) const {
@@ -90,35 +89,37 @@
 };
 
 struct BurnReport {
-  // How many nodes' parts are in it, and how many did not answer.
+  // The number of nodes whose parts are included, and of those that did not
+  // answer.
   std::uint32_t nodes = 0;
   std::uint32_t nodes_missing = 0;
-  // In the order of workspace, service and kind, each once.
+  // Unique and ordered by workspace, service and kind.
   std::vector<BurnSeries> series;
 
   friend bool operator==(const BurnReport&, const BurnReport&) = default;
 };
 
-// Share of bad events, divided by the share that the objective allows: 1 uses
-// the error budget up exactly. Empty if there were no events.
+// The share of bad events divided by the share that the objective allows; a
+// rate of 1 uses up the error budget exactly. Empty if there were no events.
 std::optional<double> BurnRate(const EventCounts& counts,
                                const LatencyObjective& objective);
 
-// Both windows of a pair must burn this fast: the long one says that it
-// matters, the short one that it still goes on.
-inline constexpr double kFastBurn = 14.4;
-inline constexpr double kSlowBurn = 6.0;
+// Thresholds of the burn rate. Both windows of a pair must reach one: the long
+// window shows that the burn is significant, the short one that it continues.
+inline constexpr double kFastBurnRate = 14.4;
+inline constexpr double kSlowBurnRate = 6.0;
 
 enum class BurnAlert : std::uint8_t { kNone, kSlow, kFast };
 BurnAlert AlertOf(const BurnSeries& series);
 std::string_view ToToken(BurnAlert alert);
 
-// Latency that `fraction` of the answers did not exceed, to the width of a
-// cell (10 %). Empty without answers; Duration::max() if above all cells.
+// The latency that `fraction` of the answers did not exceed, with the precision
+// of a cell (10 %). Empty without answers; Duration::max() if it is in the last
+// cell.
 std::optional<Duration> Quantile(const BurnSeries& series, double fraction);
 
-// Adds `part` to `report`. Where two nodes are at different revisions of a
-// contract, the objective already in `report` stays.
+// Adds `part` to `report`. If two nodes have different revisions of a contract,
+// the objective already in `report` is kept.
 void Merge(BurnReport& report, const BurnReport& part);
 
 }  // namespace bulrushmount
--- a/source/core/reporting/burn_report_format.cc
+++ b/source/core/reporting/burn_report_format.cc
@@ -18,7 +18,7 @@
 constexpr double kPercent = 100.0;
 constexpr std::string_view kNameHead = "workspace/service/kind";
 
-// A pair's short window stands beside its long one.
+// The two windows of each alert pair are shown next to each other.
 constexpr std::array kShownWindows = {
     BurnWindow::kFiveMinutes, BurnWindow::kOneHour, BurnWindow::kThirtyMinutes,
     BurnWindow::kSixHours};
@@ -44,7 +44,8 @@
   return fmt::format("{}/{}/{}", series.workspace, series.service, series.kind);
 }
 
-// Names come from operators' files: nothing of them may act on a terminal.
+// Replaces control characters, because names come from operators' files and
+// must not send control sequences to a terminal.
 std::string Printable(std::string text) {
   std::ranges::replace_if(
       text,
@@ -78,7 +79,8 @@
   return text;
 }
 
-// Escapes what XML gives a meaning to, and drops what it forbids.
+// Escapes XML special characters and replaces control characters, which XML
+// forbids.
 std::string XmlText(std::string_view text) {
   std::string escaped;
   for (const char character : text) {
@@ -105,25 +107,25 @@
   return Printable(std::move(escaped));
 }
 
-// All in pixels.
+// Dimensions in pixels.
 constexpr int kBarHeight = 12;
 constexpr int kSeriesHeight = 4 * kBarHeight + 28;
 constexpr int kHeadHeight = 40;
-constexpr int kLeft = 60;
+constexpr int kBarsLeft = 60;
 constexpr int kBarsWidth = 560;
-constexpr int kWidth = kLeft + kBarsWidth + 80;
-// Bars end here, whatever the rate; the number beside them goes on.
+constexpr int kWidth = kBarsLeft + kBarsWidth + 80;
+// Bars of higher rates are cut off here; the number next to the bar is exact.
 constexpr double kHighestShownRate = 20.0;
 
 double XOf(double rate) {
   const double share = std::min(rate, kHighestShownRate) / kHighestShownRate;
-  return kLeft + kBarsWidth * share;
+  return kBarsLeft + kBarsWidth * share;
 }
 
 std::string_view ColourOf(double rate) {
-  if (rate >= kFastBurn)
+  if (rate >= kFastBurnRate)
     return "#b3261e";
-  if (rate >= kSlowBurn)
+  if (rate >= kSlowBurnRate)
     return "#d98200";
   return rate > 1 ? "#c7b400" : "#2e7d32";
 }
@@ -144,7 +146,8 @@
   fmt::format_to(std::back_inserter(svg),
                  "<rect x=\"{}\" y=\"{}\" width=\"{:.1f}\" height=\"{}\" "
                  "fill=\"{}\"/>\n",
-                 kLeft, y, XOf(shown) - kLeft, kBarHeight - 2, ColourOf(shown));
+                 kBarsLeft, y, XOf(shown) - kBarsLeft, kBarHeight - 2,
+                 ColourOf(shown));
   AddText(svg, XOf(shown) + 6, y + kBarHeight - 2, RateText(rate));
 }
 
@@ -197,8 +200,8 @@
       kWidth, height);
   AddText(svg, 12, 16, "Service-level burn, " + NodesText(report));
   AddThreshold(svg, 1, height);
-  AddThreshold(svg, kSlowBurn, height);
-  AddThreshold(svg, kFastBurn, height);
+  AddThreshold(svg, kSlowBurnRate, height);
+  AddThreshold(svg, kFastBurnRate, height);
   int top = kHeadHeight;
   for (const BurnSeries& series : report.series) {
     AddSeries(svg, series, top);
--- a/source/core/reporting/burn_report_format.h
+++ b/source/core/reporting/burn_report_format.h
@@ -1,4 +1,4 @@
-// The burn report's forms: JSON, which nodes also exchange, text and SVG.
+// Formats of the burn report: JSON, which nodes also exchange, text and SVG.
 
 #ifndef BULRUSHMOUNT_CORE_REPORTING_BURN_REPORT_FORMAT_H_
 #define BULRUSHMOUNT_CORE_REPORTING_BURN_REPORT_FORMAT_H_
@@ -12,18 +12,18 @@
 
 namespace bulrushmount {
 
-// What is wrong with a report's JSON; a LEAF error object.
+// An error in a report's JSON; a LEAF error object.
 struct BurnReportFault {
   std::string text;
 };
 
 std::string ToJson(const BurnReport& report);
 
-// Reads what ToJson wrote; unknown fields are ignored so that releases mix.
-// Fails with a BurnReportFault.
+// Parses the output of ToJson. Ignores unknown fields, so that nodes of
+// different releases can exchange reports. Fails with a BurnReportFault.
 boost::leaf::result<BurnReport> BurnReportFromJson(std::string_view json);
 
-// A table for terminals, one line a series.
+// A table for terminals, with one line per series.
 std::string ToText(const BurnReport& report);
 
 // A bar for each series and window, with the alert thresholds.
--- a/source/core/reporting/burn_report_json.cc
+++ b/source/core/reporting/burn_report_json.cc
@@ -17,7 +17,7 @@
 
 constexpr double kMedian = 0.5;
 constexpr double kTail = 0.99;
-// Above what a node may name, and far below what a number of JSON can hold.
+// More series than a node reports.
 constexpr std::size_t kMaxSeries = 100'000;
 
 json::value ToValue(const std::optional<double>& number) {
@@ -71,8 +71,8 @@
   };
 }
 
-// Reads the fields of a report and remembers the first fault. After a fault it
-// goes on with empty values.
+// Reads the fields of a report and stores the first error. After an error, it
+// returns empty values.
 class Reader {
  public:
   const json::object& Object(const json::value* value, std::string_view name) {
@@ -98,7 +98,7 @@
     return {};
   }
 
-  // Neither negative nor infinite.
+  // Reads a finite, non-negative number.
   double Amount(const json::object& in, std::string_view name) {
     const json::value* value = in.if_contains(name);
     if (value != nullptr && value->is_number()) {
@@ -232,7 +232,7 @@
   if (reader.fault().empty()) {
     for (const json::value& element : series)
       part.series.push_back(ReadSeries(reader, element));
-    // Restores the order and joins series that were named twice.
+    // Sorts the series and combines duplicates.
     Merge(report, part);
   }
   if (!reader.fault().empty())
--- a/source/core/reporting/call_recorder.cc
+++ b/source/core/reporting/call_recorder.cc
@@ -22,7 +22,7 @@
 using LatencyAxis =
     histogram::axis::regular<double, histogram::axis::transform::log>;
 
-// Its storage starts with a byte for each cell and widens as counts grow.
+// The storage uses one byte per cell at first and grows with the counts.
 auto MakeLatencies() {
   return histogram::make_histogram(
       LatencyAxis(kLatencyCellsPerDecade * kLatencyDecades,
@@ -33,14 +33,14 @@
 constexpr auto kSteps =
     static_cast<std::size_t>(std::chrono::hours(6) / kBurnStep);
 
-// Events of one step. Floats are exact up to 16 million units in a step and
-// halve the memory.
+// Events of one step. Floats halve the memory and are exact up to 16 million
+// units in a step.
 struct Step {
   float good = 0;
   float bad = 0;
 };
 
-// The steps of the longest window.
+// A ring buffer of the steps of the longest window.
 class StepRing {
  public:
   void Add(std::int64_t step, CallVerdict verdict, double weight) {
@@ -76,7 +76,7 @@
   }
 
   std::vector<Step> m_steps = std::vector<Step>(kSteps);
-  // All later steps are still to be cleared.
+  // The newest cleared step; later ones are cleared before use.
   std::int64_t m_latest = 0;
 };
 
@@ -119,7 +119,7 @@
   }
 }
 
-// Boost.Histogram numbers the cell below the axis -1.
+// Boost.Histogram gives the underflow cell the index -1.
 std::vector<LatencyCell> FilledCells(const Latencies& latencies) {
   std::vector<LatencyCell> cells;
   for (std::uint32_t index = 0; index < kLatencyCells; ++index) {
@@ -130,7 +130,7 @@
   return cells;
 }
 
-CallVerdict JudgeRefusal(Reason reason) {
+CallVerdict ClassifyRefusal(Reason reason) {
   switch (reason) {
     case Reason::kMalformedRequest:
     case Reason::kHeadTooLarge:
@@ -153,15 +153,16 @@
 
 }  // namespace
 
-CallVerdict Judge(const CallRecord& record) {
+CallVerdict ClassifyCall(const CallRecord& record) {
   const bool is_late = record.latency > record.objective.within;
-  // A caller that leaves in time tells nothing; one that waited too long does.
+  // A caller that disconnects before the objective has passed is not counted;
+  // one that waited longer is.
   if (record.reason == Reason::kCallerDisconnected)
     return is_late ? CallVerdict::kBad : CallVerdict::kNotCounted;
   if (record.outcome == Outcome::kAnswered)
     return is_late ? CallVerdict::kBad : CallVerdict::kGood;
   if (record.outcome == Outcome::kNotRun)
-    return JudgeRefusal(record.reason);
+    return ClassifyRefusal(record.reason);
   return CallVerdict::kBad;
 }
 
@@ -200,7 +201,7 @@
   CountOutcome(series.outcomes, record.outcome);
   if (record.outcome == Outcome::kAnswered)
     series.latencies(ToSeconds(record.latency));
-  const CallVerdict verdict = Judge(record);
+  const CallVerdict verdict = ClassifyCall(record);
   if (verdict != CallVerdict::kNotCounted)
     series.steps.Add(m_state->StepOf(now), verdict, record.weight);
 }
--- a/source/core/reporting/call_recorder.h
+++ b/source/core/reporting/call_recorder.h
@@ -1,5 +1,6 @@
-// What a node's calls came to, per workspace and kind: latency histograms,
-// outcomes, and good and bad calls in sliding windows. Memory is bounded.
+// Statistics of a node's calls by workspace, service and kind: latency
+// histograms, outcomes, and good and bad calls in sliding windows. Memory is
+// bounded.
 
 #ifndef BULRUSHMOUNT_CORE_REPORTING_CALL_RECORDER_H_
 #define BULRUSHMOUNT_CORE_REPORTING_CALL_RECORDER_H_
@@ -22,38 +23,39 @@
   ServiceName service;
   KindName kind;
   Outcome outcome = Outcome::kAnswered;
-  // kNone for an answer relayed.
+  // kNone for a relayed answer.
   Reason reason = Reason::kNone;
   // From arrival to the first byte of the answer.
   Duration latency{};
-  // Of the contract's terms at that time.
+  // From the contract in force at that time.
   LatencyObjective objective;
   double weight = 1.0;
 };
 
 // How a call counts towards the objective.
 enum class CallVerdict : std::uint8_t {
-  // A whole answer, in time.
+  // A complete answer in time.
   kGood,
-  // A late answer, an unknown outcome, or a refusal by the system's state.
+  // A late answer, an unknown outcome, or a refusal because of the state of the
+  // system.
   kBad,
-  // A fault of the request itself or the workspace's own limit: it says
-  // nothing of the service.
+  // An error in the request itself, or a limit of its workspace, which does not
+  // show a problem of the service.
   kNotCounted,
 };
 
-CallVerdict Judge(const CallRecord& record);
+CallVerdict ClassifyCall(const CallRecord& record);
 
 inline constexpr char kOtherWorkspace[] = "(other)";
 inline constexpr char kOtherKind[] = "(other)";
 
-// Windows move in steps of this; they include the step under way.
+// Sliding windows advance in steps of this length and include the current step.
 inline constexpr Duration kBurnStep = std::chrono::seconds(30);
 
 class CallRecorder {
  public:
-  // Beyond `max_series` pairs of workspace and kind, further ones are counted
-  // together under the kind kOtherKind of the workspace kOtherWorkspace.
+  // After `max_series` combinations of workspace, service and kind, further
+  // ones are counted together as kind kOtherKind of workspace kOtherWorkspace.
   CallRecorder(TimePoint now, std::size_t max_series);
   ~CallRecorder();
 
@@ -62,10 +64,10 @@
 
   void Record(TimePoint now, const CallRecord& record);
 
-  // This node's part of the report, to be merged with the other nodes'.
+  // This node's part of the report, to be merged with those of other nodes.
   BurnReport Snapshot(TimePoint now);
 
-  // Forgets a withdrawn contract's series.
+  // Removes the series of a withdrawn contract.
   void Forget(const WorkspaceName& workspace);
 
   std::size_t series_count() const;
--- a/source/core/reporting/log_digest.cc
+++ b/source/core/reporting/log_digest.cc
@@ -12,12 +12,13 @@
 namespace {
 
 constexpr std::string_view kTimeField = "time=";
-// More members than this are not told apart, whoever wrote the line.
-constexpr std::size_t kMostMembers = 8192;
-constexpr char kOthers[] = "other";
+// The maximum number of members recorded per process, since any text can appear
+// in a log file.
+constexpr std::size_t kMaxMembers = 8192;
+constexpr char kOther[] = "other";
 
-// The value of `key=` in the line, up to the next space; empty if it has none.
-// Values that could hold a space are quoted and not asked for here.
+// The value of `key=` in the line up to the next space; empty if there is none.
+// Not for values that may contain spaces, which are quoted.
 std::string_view FieldOf(std::string_view line, std::string_view key) {
   std::size_t at = 0;
   while ((at = line.find(key, at)) != std::string_view::npos) {
@@ -42,7 +43,8 @@
   return number;
 }
 
-// What stands in front of the time: the last word, without a colon behind it.
+// The process name in the text before the time: the last word, without a
+// trailing colon.
 std::string_view ProcessOf(std::string_view before) {
   const std::size_t last = before.find_last_not_of(" \t:");
   if (last == std::string_view::npos)
@@ -53,9 +55,9 @@
 }
 
 void Count(std::map<std::string, std::uint64_t>& counts, std::string key) {
-  const bool is_full = counts.size() >= LogDigest::kMostReasons;
+  const bool is_full = counts.size() >= LogDigest::kMaxReasons;
   if (is_full && !counts.contains(key))
-    key = kOthers;
+    key = kOther;
   ++counts[key];
 }
 
@@ -75,8 +77,8 @@
 std::string RangeText(const LogSample& sample) {
   if (sample.count() == 0)
     return "-";
-  return fmt::format("{:.0f} ({:.0f} to {:.0f})", sample.mean(), sample.least(),
-                     sample.most());
+  return fmt::format("{:.0f} ({:.0f} to {:.0f})", sample.mean(),
+                     sample.minimum(), sample.maximum());
 }
 
 }  // namespace
@@ -84,8 +86,10 @@
 void LogSample::Merge(const LogSample& other) {
   if (other.m_count == 0)
     return;
-  m_most = m_count == 0 || other.m_most > m_most ? other.m_most : m_most;
-  m_least = m_count == 0 || other.m_least < m_least ? other.m_least : m_least;
+  m_maximum =
+      m_count == 0 || other.m_maximum > m_maximum ? other.m_maximum : m_maximum;
+  m_minimum =
+      m_count == 0 || other.m_minimum < m_minimum ? other.m_minimum : m_minimum;
   m_count += other.m_count;
   m_sum += other.m_sum;
 }
@@ -105,7 +109,7 @@
   ++m_lines;
   const std::size_t at = line.find(kTimeField);
   if (at == std::string_view::npos) {
-    ++m_passed_over;
+    ++m_skipped_lines;
     return;
   }
   const std::string_view body = line.substr(at);
@@ -115,12 +119,12 @@
                                ? FindProcess(ProcessOf(line.substr(0, at)))
                                : nullptr;
   if (!process) {
-    ++m_passed_over;
+    ++m_skipped_lines;
     return;
   }
   EnterWindow(*process, *time);
-  TakeEvent(*process, *time, event, body);
-  WidenWhereMany();
+  HandleEvent(*process, *time, event, body);
+  WidenIfTooMany();
 }
 
 void LogDigest::Finish() {
@@ -133,13 +137,13 @@
   const auto found = m_processes.find(name);
   if (found != m_processes.end())
     return &found->second;
-  if (m_processes.size() >= kMostProcesses)
+  if (m_processes.size() >= kMaxProcesses)
     return nullptr;
   return &m_processes[std::string(name)];
 }
 
 LogWindow& LogDigest::WindowAt(std::int64_t begin) {
-  // A process may have been in a window that was widened since.
+  // The windows may have been widened since the process entered its window.
   const std::int64_t aligned = begin - ((begin % m_width) + m_width) % m_width;
   return m_windows[aligned];
 }
@@ -162,10 +166,10 @@
   process.window = begin;
 }
 
-void LogDigest::TakeEvent(Process& process,
-                          double time,
-                          std::string_view event,
-                          std::string_view line) {
+void LogDigest::HandleEvent(Process& process,
+                            double time,
+                            std::string_view event,
+                            std::string_view line) {
   LogWindow& window = WindowAt(*process.window);
   if (event == "call.ended") {
     Count(window.calls, fmt::format("{}/{}", FieldOf(line, "outcome"),
@@ -177,7 +181,7 @@
     if (const auto wait = NumberOf(FieldOf(line, "wait_ms")))
       window.wait_ms.Add(*wait);
   } else if (event == "member.changed") {
-    TakeMember(process, line);
+    HandleMember(process, line);
   } else if (event == "config.in_force") {
     process.revision = NumberOf(FieldOf(line, "revision"));
   } else if (event == "dependency.lost") {
@@ -185,13 +189,13 @@
   } else if (event == "membership.paused") {
     ++window.pauses;
   } else {
-    TakeStart(process, time, event);
+    HandleStart(process, time, event);
   }
 }
 
-void LogDigest::TakeStart(Process& process,
-                          double time,
-                          std::string_view event) {
+void LogDigest::HandleStart(Process& process,
+                            double time,
+                            std::string_view event) {
   if (event == "node.started") {
     const std::optional<std::int64_t> window = process.window;
     process = Process();
@@ -208,7 +212,7 @@
   }
 }
 
-void LogDigest::TakeMember(Process& process, std::string_view line) {
+void LogDigest::HandleMember(Process& process, std::string_view line) {
   const std::string_view member = FieldOf(line, "member");
   const std::string_view state = FieldOf(line, "state");
   const bool is_live = state == "alive" || state == "suspect";
@@ -216,13 +220,13 @@
     if (const auto found = process.members.find(member);
         found != process.members.end())
       process.members.erase(found);
-  } else if (process.members.size() < kMostMembers) {
+  } else if (process.members.size() < kMaxMembers) {
     process.members.emplace(member);
   }
 }
 
-void LogDigest::WidenWhereMany() {
-  if (m_windows.size() <= kMostWindows)
+void LogDigest::WidenIfTooMany() {
+  if (m_windows.size() <= kMaxWindows)
     return;
   m_width *= 2;
   std::map<std::int64_t, LogWindow> narrow;
@@ -233,21 +237,22 @@
 
 std::string LogDigest::Text() const {
   std::string text = fmt::format(
-      "{} lines, {} passed over; windows of {} s\n"
-      "starts: {} knew their routes after {:.2f} s in the mean and {:.2f} s at "
-      "most, {} had a target after {:.2f} s and {:.2f} s\n",
-      m_lines, m_passed_over, m_width, m_until_routes.count(),
-      m_until_routes.mean(), m_until_routes.most(), m_until_target.count(),
-      m_until_target.mean(), m_until_target.most());
+      "{} lines, {} skipped; windows of {} s\n"
+      "starts: {} had routes after {:.2f} s on average and {:.2f} s at most, "
+      "{} had a target after {:.2f} s and {:.2f} s\n",
+      m_lines, m_skipped_lines, m_width, m_until_routes.count(),
+      m_until_routes.mean(), m_until_routes.maximum(), m_until_target.count(),
+      m_until_target.mean(), m_until_target.maximum());
   for (const auto& [begin, window] : m_windows) {
     text += fmt::format(
-        "{} calls: {}; asked {:.1f} owners a call, {:.0f} at most\n"
+        "{} calls: {}; owners tried per call: {:.1f}, {:.0f} at most\n"
         "  works: {}; waited {:.1f} ms, {:.0f} at most\n"
-        "  members known: {}; revision: {}; table lost: {}; stood still: {}\n",
+        "  members known: {}; revision: {}; table lost: {}; pauses: {}\n",
         begin, CountsText(window.calls), window.attempts.mean(),
-        window.attempts.most(), CountsText(window.works), window.wait_ms.mean(),
-        window.wait_ms.most(), RangeText(window.members),
-        RangeText(window.revisions), window.dependencies_lost, window.pauses);
+        window.attempts.maximum(), CountsText(window.works),
+        window.wait_ms.mean(), window.wait_ms.maximum(),
+        RangeText(window.members), RangeText(window.revisions),
+        window.dependencies_lost, window.pauses);
   }
   return text;
 }
--- a/source/core/reporting/metrics_page.cc
+++ b/source/core/reporting/metrics_page.cc
@@ -18,7 +18,8 @@
 
 namespace {
 
-// One family's metrics of one type. A map keeps references to them valid.
+// The metrics of one family. A std::map, because references to its elements
+// stay valid.
 template <typename Metric>
 using MetricsByLabels = std::map<MetricLabels, Metric>;
 
@@ -46,8 +47,9 @@
          std::ranges::all_of(name, IsNamePart);
 }
 
-// A wrong name would make the whole page unreadable for its scraper, long
-// after the fault was put in; so it stops the first test that meets it.
+// Aborts if a name is invalid. A scraper would reject the whole page because of
+// one, possibly long after the error was introduced, so the first test that
+// uses the name must fail.
 void CheckInvariant(bool holds, std::string_view name) {
   if (holds)
     return;
--- a/source/core/reporting/metrics_page.h
+++ b/source/core/reporting/metrics_page.h
@@ -1,4 +1,4 @@
-// A small registry of typed metrics and its page in the Prometheus text form.
+// A registry of typed metrics and their page in the Prometheus text format.
 
 #ifndef BULRUSHMOUNT_CORE_REPORTING_METRICS_PAGE_H_
 #define BULRUSHMOUNT_CORE_REPORTING_METRICS_PAGE_H_
@@ -15,7 +15,7 @@
 
 struct MetricLabel {
   std::string name;
-  // Any bytes; escaped on the page.
+  // May contain any bytes; escaped on the page.
   std::string value;
 
   friend bool operator==(const MetricLabel&, const MetricLabel&) = default;
@@ -25,11 +25,12 @@
 };
 using MetricLabels = std::vector<MetricLabel>;
 
-// Only rises.
+// A monotonic counter.
 class Counter {
  public:
   void Add(std::uint64_t amount = 1) { m_value += amount; }
-  // Takes over a count that is kept elsewhere; ignored if it is lower.
+  // Sets the counter to a count that is maintained elsewhere; ignores lower
+  // values.
   void RaiseTo(std::uint64_t value);
   std::uint64_t value() const { return m_value; }
 
@@ -47,16 +48,17 @@
   double m_value = 0;
 };
 
-// Counts observations in cells of fixed upper bounds.
+// Counts observations in buckets with fixed upper bounds.
 class MetricHistogram {
  public:
-  // `upper_bounds` rise; a cell for all above is added.
+  // `upper_bounds` must be in ascending order; a bucket for all higher values
+  // is added.
   explicit MetricHistogram(std::vector<double> upper_bounds);
 
   void Observe(double value);
 
   const std::vector<double>& upper_bounds() const { return m_upper_bounds; }
-  // One more than upper_bounds; not cumulative.
+  // One element more than upper_bounds(); not cumulative.
   const std::vector<std::uint64_t>& counts() const { return m_counts; }
   double sum() const { return m_sum; }
 
@@ -66,10 +68,10 @@
   double m_sum = 0;
 };
 
-// Hands out metrics that live as long as the registry. The same name and
-// labels give the same metric. A family beyond `max_series` label sets hands
-// out one shared metric with no labels but {overflow="true"}, so that callers'
-// bytes cannot fill the memory.
+// Creates metrics, which live as long as the registry. The same name and labels
+// return the same metric. Once a family has `max_series` label sets, all
+// further ones share one metric with the only label {overflow="true"}, so that
+// label values from callers cannot exhaust the memory.
 class MetricsRegistry {
  public:
   explicit MetricsRegistry(std::size_t max_series = 1000);
@@ -78,8 +80,8 @@
   MetricsRegistry(const MetricsRegistry&) = delete;
   MetricsRegistry& operator=(const MetricsRegistry&) = delete;
 
-  // `name` must be a valid metric name, and of one type only: else the process
-  // stops, since that is a fault of the program.
+  // `name` must be a valid metric name and always have the same type;
+  // otherwise the process aborts, since that is a programming error.
   Counter& GetCounter(std::string_view name,
                       std::string_view help,
                       MetricLabels labels = {});
@@ -91,7 +93,7 @@
                                 const std::vector<double>& upper_bounds,
                                 MetricLabels labels = {});
 
-  // The page for `/metrics`, content type kMetricsContentType.
+  // The page for `/metrics`, of content type kMetricsContentType.
   std::string Page() const;
 
  private:
--- a/source/core/reporting/traffic_metrics.cc
+++ b/source/core/reporting/traffic_metrics.cc
@@ -9,7 +9,8 @@
 
 namespace {
 
-// Seconds, from a hop between nodes to the longest deadlines of operators.
+// Upper bounds in seconds, from the time of a hop between nodes to the longest
+// usual deadlines.
 const std::vector<double>& LatencyBounds() {
   static const std::vector<double> bounds = {0.001, 0.002, 0.005, 0.01, 0.02,
                                              0.05,  0.1,   0.2,   0.5,  1.0,
--- a/source/core/reporting/traffic_metrics.h
+++ b/source/core/reporting/traffic_metrics.h
@@ -1,5 +1,5 @@
-// Counters and latency histograms of the calls at an entry and of the works at
-// an owner, for the metrics page.
+// Counters and latency histograms for the metrics page: calls at an entry and
+// works at an owner.
 
 #ifndef BULRUSHMOUNT_CORE_REPORTING_TRAFFIC_METRICS_H_
 #define BULRUSHMOUNT_CORE_REPORTING_TRAFFIC_METRICS_H_
@@ -18,19 +18,20 @@
   // `registry` must outlive the object.
   explicit TrafficMetrics(MetricsRegistry& registry) : m_registry(registry) {}
 
-  // `latency`: from arrival to the first byte of the answer, or to the end.
+  // `latency` is the time from the call's arrival to the first byte of its
+  // answer, or to its end.
   void OnCall(const ServiceName& service,
               Outcome outcome,
               Reason reason,
               Duration latency);
-  // Targets that were asked in vain before the one that took the call.
+  // `attempts` is the number of owners that the call was sent to.
   void OnAttempts(std::uint32_t attempts);
 
-  // `result`: what the log line of the work says.
+  // `result` is the result in the log line of the work.
   void OnWork(std::string_view result, Duration wait);
   void OnRun(Duration run);
 
-  // What somebody said of the target beside this node was not taken.
+  // A report about this node's target was rejected.
   void OnReportRefused(std::string_view reason);
 
  private:
--- a/source/unit_tests/core/reporting/burn_report_test.cc
+++ b/source/unit_tests/core/reporting/burn_report_test.cc
@@ -1,4 +1,4 @@
-// Burn rates, alerts and the report's forms.
+// Tests burn rates, alerts and the formats of the report.
 
 #include "core/reporting/burn_report.h"
 
@@ -33,8 +33,8 @@
   EXPECT_NEAR(rate.value_or(0), GetParam().expected.value_or(0), 1e-9);
 }
 
-// 1 bad of 100 uses up 99 % exactly; 10 of 100 burn ten times as fast; weights
-// 2.5 of 50 at 99.9 % are 0.05 / 0.001.
+// 1 bad event of 100 uses up the budget of 99 % exactly; 10 of 100 burn ten
+// times as fast; a weight of 2.5 of 50 at 99.9 % is 0.05 / 0.001.
 INSTANTIATE_TEST_SUITE_P(Reporting,
                          RateTest,
                          testing::Values(RateCase{{99, 1}, 0.99, 1.0},
@@ -58,7 +58,8 @@
 }
 
 struct AlertCase {
-  // Of the windows 5m, 30m, 1h, 6h. With 99 %, a bad percent is a rate of 1.
+  // For the windows 5m, 30m, 1h, 6h. At 99 %, one percent of bad events is a
+  // rate of 1.
   std::array<double, kBurnWindowCount> bad_percent;
   BurnAlert expected;
 };
@@ -109,7 +110,7 @@
   EXPECT_EQ(merged.latencies, cells);
 }
 
-// The text of the fault, or "" for a report.
+// The error message, or "" for a valid report.
 std::string FaultOf(const std::string& text) {
   return leaf::try_handle_all(
       [&text]() -> leaf::result<std::string> {
@@ -120,7 +121,7 @@
       []() { return std::string("another error"); });
 }
 
-RC_GTEST_PROP(BurnReportProperty, SurvivesJson, ()) {
+RC_GTEST_PROP(BurnReportProperty, JsonRoundTrips, ()) {
   BurnReport report;
   report.nodes = 3;
   const auto parts = *rc::gen::arbitrary<
@@ -141,9 +142,9 @@
 class FaultTest
     : public testing::TestWithParam<std::pair<std::string, std::string>> {};
 
-// Symptom: a node stops, or reports nonsense. Sequence: a peer of another
-// release, or a broken one, sends its part. Cause: fields were not checked.
-TEST_P(FaultTest, NamesTheFault) {
+// Guards against a node crashing or reporting wrong data because of an invalid
+// part from a faulty peer or one of another release.
+TEST_P(FaultTest, NamesTheError) {
   const std::string fault = FaultOf(GetParam().first);
   EXPECT_NE(fault.find(GetParam().second), std::string::npos) << fault;
 }
@@ -186,8 +187,8 @@
       << text;
 }
 
-// Symptom: a script runs in the operator's browser. Cause: a kind's name was
-// put into the SVG as it was.
+// Guards against a script running in the operator's browser because a kind's
+// name was written to the SVG without escaping.
 TEST(BurnReportFormatTest, SvgEscapesNames) {
   BurnReport report{1, 0, {MakeSeries({15, 7, 15, 0})}};
   report.series[0].kind = KindName("<script>\"&'");
--- a/source/unit_tests/core/reporting/call_recorder_test.cc
+++ b/source/unit_tests/core/reporting/call_recorder_test.cc
@@ -1,4 +1,5 @@
-// Recording and merging, against hand-worked numbers and a naive version.
+// Tests recording and merging against calculated values and a simple reference
+// implementation.
 
 #include "core/reporting/call_recorder.h"
 
@@ -34,46 +35,49 @@
           1.0};
 }
 
-struct JudgeCase {
+struct ClassifyCase {
   Outcome outcome;
   Reason reason;
   Duration latency;
   CallVerdict expected;
 };
 
-class JudgeTest : public testing::TestWithParam<JudgeCase> {};
+class ClassifyCallTest : public testing::TestWithParam<ClassifyCase> {};
 
-TEST_P(JudgeTest, Counts) {
-  const JudgeCase& test = GetParam();
-  EXPECT_EQ(Judge(MakeRecord(test.outcome, test.reason, test.latency)),
+TEST_P(ClassifyCallTest, Counts) {
+  const ClassifyCase& test = GetParam();
+  EXPECT_EQ(ClassifyCall(MakeRecord(test.outcome, test.reason, test.latency)),
             test.expected);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Reporting,
-    JudgeTest,
-    testing::Values(
-        JudgeCase{Outcome::kAnswered, Reason::kNone, 50ms, CallVerdict::kGood},
-        JudgeCase{Outcome::kAnswered, Reason::kNone, 51ms, CallVerdict::kBad},
-        JudgeCase{Outcome::kNotRun, Reason::kNoTarget, 1ms, CallVerdict::kBad},
-        JudgeCase{Outcome::kNotRun, Reason::kStoreUnavailable, 1ms,
-                  CallVerdict::kBad},
-        JudgeCase{Outcome::kNotRun, Reason::kOverloaded, 1ms,
-                  CallVerdict::kBad},
-        JudgeCase{Outcome::kNotRun, Reason::kWorkspaceRateLimit, 1ms,
-                  CallVerdict::kNotCounted},
-        JudgeCase{Outcome::kNotRun, Reason::kMalformedRequest, 1ms,
-                  CallVerdict::kNotCounted},
-        JudgeCase{Outcome::kNotRun, Reason::kInProgress, 1ms,
-                  CallVerdict::kNotCounted},
-        JudgeCase{Outcome::kUnknown, Reason::kTargetLost, 1ms,
-                  CallVerdict::kBad},
-        JudgeCase{Outcome::kUnknown, Reason::kCallerDisconnected, 1ms,
-                  CallVerdict::kNotCounted},
-        JudgeCase{Outcome::kUnknown, Reason::kCallerDisconnected, 51ms,
-                  CallVerdict::kBad}));
-
-// One bad call of weight 3 at the start; when it leaves each window.
+    ClassifyCallTest,
+    testing::Values(ClassifyCase{Outcome::kAnswered, Reason::kNone, 50ms,
+                                 CallVerdict::kGood},
+                    ClassifyCase{Outcome::kAnswered, Reason::kNone, 51ms,
+                                 CallVerdict::kBad},
+                    ClassifyCase{Outcome::kNotRun, Reason::kNoTarget, 1ms,
+                                 CallVerdict::kBad},
+                    ClassifyCase{Outcome::kNotRun, Reason::kStoreUnavailable,
+                                 1ms, CallVerdict::kBad},
+                    ClassifyCase{Outcome::kNotRun, Reason::kOverloaded, 1ms,
+                                 CallVerdict::kBad},
+                    ClassifyCase{Outcome::kNotRun, Reason::kWorkspaceRateLimit,
+                                 1ms, CallVerdict::kNotCounted},
+                    ClassifyCase{Outcome::kNotRun, Reason::kMalformedRequest,
+                                 1ms, CallVerdict::kNotCounted},
+                    ClassifyCase{Outcome::kNotRun, Reason::kInProgress, 1ms,
+                                 CallVerdict::kNotCounted},
+                    ClassifyCase{Outcome::kUnknown, Reason::kTargetLost, 1ms,
+                                 CallVerdict::kBad},
+                    ClassifyCase{Outcome::kUnknown, Reason::kCallerDisconnected,
+                                 1ms, CallVerdict::kNotCounted},
+                    ClassifyCase{Outcome::kUnknown, Reason::kCallerDisconnected,
+                                 51ms, CallVerdict::kBad}));
+
+// One bad call of weight 3 at the start, and the times at which it leaves each
+// window.
 struct WindowCase {
   Duration after;
   std::array<double, kBurnWindowCount> bad;
@@ -134,8 +138,8 @@
 
 using Event = std::tuple<std::uint16_t, std::uint8_t, std::uint8_t>;
 
-// A list of all calls, filtered at each question.
-class NaiveRecorder {
+// Reference implementation: a list of all calls, filtered for each query.
+class ReferenceRecorder {
  public:
   void Record(TimePoint now, const CallRecord& record) {
     m_calls.emplace_back(now, record);
@@ -144,7 +148,7 @@
   EventCounts Sum(TimePoint now, const KindName& kind, Duration window) const {
     EventCounts counts;
     for (const auto& [time, record] : m_calls) {
-      const CallVerdict verdict = Judge(record);
+      const CallVerdict verdict = ClassifyCall(record);
       if (record.kind != kind ||
           StepOf(now) - StepOf(time) >= window / kBurnStep)
         continue;
@@ -164,11 +168,11 @@
   std::vector<std::pair<TimePoint, CallRecord>> m_calls;
 };
 
-// Calls at two nodes over hours, merged through the JSON-free form.
-RC_GTEST_PROP(CallRecorderProperty, TwoNodesMergedAgreeWithOneList, ()) {
+// Calls at two nodes over several hours; merges their reports without JSON.
+RC_GTEST_PROP(CallRecorderProperty, MergedNodesMatchTheReference, ()) {
   CallRecorder first(kStart, kMaxSeries);
   CallRecorder second(kStart, kMaxSeries);
-  NaiveRecorder naive;
+  ReferenceRecorder reference;
   TimePoint now = kStart;
   for (const auto& [pause, call, mode] :
        *rc::gen::arbitrary<std::vector<Event>>()) {
@@ -179,7 +183,7 @@
     record.kind = KindName(mode % 2 == 0 ? "browse" : "book");
     record.weight = 1 + mode % 3;
     (mode % 7 < 3 ? first : second).Record(now, record);
-    naive.Record(now, record);
+    reference.Record(now, record);
   }
   BurnReport report;
   Merge(report, first.Snapshot(now));
@@ -189,7 +193,7 @@
     for (std::size_t index = 0; index < kBurnWindowCount; ++index) {
       const Duration length = TraitsOf(static_cast<BurnWindow>(index)).length;
       RC_ASSERT(series.windows.at(index) ==
-                naive.Sum(now, series.kind, length));
+                reference.Sum(now, series.kind, length));
     }
   }
 }
--- a/source/unit_tests/core/reporting/log_digest_test.cc
+++ b/source/unit_tests/core/reporting/log_digest_test.cc
@@ -1,5 +1,5 @@
-// Tests of `core/reporting/log_digest.h`: logs that are mixed, cut off, foreign
-// and long.
+// Tests of `core/reporting/log_digest.h` with logs that are interleaved,
+// truncated, unrelated or long.
 
 #include "core/reporting/log_digest.h"
 
@@ -36,8 +36,8 @@
 
 class LogPrefixTest : public testing::TestWithParam<PrefixCase> {};
 
-// Whatever tool put the lines together, a process's lines are told from others.
-TEST_P(LogPrefixTest, KnowsTheProcess) {
+// Processes are distinguished in the formats of common tools that combine logs.
+TEST_P(LogPrefixTest, IdentifiesTheProcess) {
   const std::string prefix = GetParam().prefix;
   const LogDigest digest = DigestOf(
       {prefix + "time=5.1 level=info event=member.changed member=a state=alive",
@@ -46,8 +46,8 @@
        "state=alive"});
   const LogWindow& window = digest.windows().at(5);
   EXPECT_EQ(window.members.count(), 2U);
-  EXPECT_EQ(window.members.most(), 2);
-  EXPECT_EQ(window.members.least(), 1);
+  EXPECT_EQ(window.members.maximum(), 2);
+  EXPECT_EQ(window.members.minimum(), 1);
 }
 
 INSTANTIATE_TEST_SUITE_P(Prefixes,
@@ -73,13 +73,13 @@
   EXPECT_EQ(second.calls.at("not-run/overloaded"), 2U);
   EXPECT_EQ(second.attempts.mean(), 4);
   EXPECT_EQ(second.works.at("answered"), 1U);
-  EXPECT_EQ(second.wait_ms.most(), 4.5);
+  EXPECT_EQ(second.wait_ms.maximum(), 4.5);
   EXPECT_EQ(second.dependencies_lost, 1U);
-  EXPECT_EQ(digest.passed_over(), 0U);
+  EXPECT_EQ(digest.skipped_lines(), 0U);
 }
 
-// A file may follow another whole, so that time goes back.
-TEST(LogDigestTest, TakesOneFileAfterAnother) {
+// Files may be concatenated, so that time goes backwards.
+TEST(LogDigestTest, AcceptsConcatenatedFiles) {
   const LogDigest digest =
       DigestOf({CallLine("a", 10, 1), CallLine("a", 20, 1),
                 CallLine("b", 10, 1), CallLine("b", 20, 1)});
@@ -87,23 +87,23 @@
   EXPECT_EQ(digest.windows().at(20).calls.at("not-run/overloaded"), 2U);
 }
 
-TEST(LogDigestTest, TellsWhatStartsWaitedFor) {
+TEST(LogDigestTest, ReportsStartDelays) {
   const LogDigest digest = DigestOf({
       "a time=1.0 level=info event=node.started node=7",
       "a time=1.5 level=info event=routes.in_force revision=3",
       "a time=2.5 level=info event=target.gate_opened instance=i",
-      // Only the first of a start counts.
+      // Only the first one after a start counts.
       "a time=9.0 level=info event=routes.in_force revision=4",
       "a time=20.0 level=info event=node.started node=8",
       "a time=21.5 level=info event=routes.in_force revision=4",
   });
   EXPECT_EQ(digest.until_routes().count(), 2U);
   EXPECT_DOUBLE_EQ(digest.until_routes().mean(), 1.0);
-  EXPECT_DOUBLE_EQ(digest.until_routes().most(), 1.5);
+  EXPECT_DOUBLE_EQ(digest.until_routes().maximum(), 1.5);
   EXPECT_EQ(digest.until_target().count(), 1U);
 }
 
-TEST(LogDigestTest, PassesOverWhatItCannotRead) {
+TEST(LogDigestTest, SkipsInvalidLines) {
   const LogDigest digest = DigestOf({
       "",
       "no event at all",
@@ -113,35 +113,36 @@
       "a time=1e999 event=call.ended outcome=answered",
       std::string("\0\xff\xfe", 3),
   });
-  EXPECT_EQ(digest.passed_over(), digest.lines());
+  EXPECT_EQ(digest.skipped_lines(), digest.lines());
   EXPECT_TRUE(digest.windows().empty());
 }
 
-// Days of logs take no more memory than an hour's, and lose no count.
-TEST(LogDigestTest, WidensItsWindowsWhereThereAreMany) {
+// Days of logs use no more memory than an hour's, and no line is lost.
+TEST(LogDigestTest, WidensWindowsIfTooMany) {
   LogDigest digest;
-  constexpr std::uint64_t seconds = 4 * LogDigest::kMostWindows;
+  constexpr std::uint64_t seconds = 4 * LogDigest::kMaxWindows;
   for (std::uint64_t second = 0; second < seconds; ++second)
     digest.AddLine(CallLine("a", static_cast<double>(second), 1));
   digest.Finish();
-  EXPECT_LE(digest.windows().size(), LogDigest::kMostWindows);
+  EXPECT_LE(digest.windows().size(), LogDigest::kMaxWindows);
   std::uint64_t calls = 0;
   for (const auto& [begin, window] : digest.windows())
     calls += window.calls.at("not-run/overloaded");
   EXPECT_EQ(calls, seconds);
 }
 
-TEST(LogDigestTest, CountsWhatDiffersTooMuchTogether) {
+TEST(LogDigestTest, CountsExcessReasonsTogether) {
   LogDigest digest;
   for (int reason = 0; reason < 1000; ++reason) {
     digest.AddLine(fmt::format(
         "a time=1 event=call.ended outcome=x reason=r{} attempts=1", reason));
   }
   digest.Finish();
-  EXPECT_LE(digest.windows().at(1).calls.size(), LogDigest::kMostReasons + 1);
+  EXPECT_LE(digest.windows().at(1).calls.size(), LogDigest::kMaxReasons + 1);
 }
 
-// Lines cut at any place, and bytes changed, neither crash it nor count twice.
+// Lines that are truncated anywhere or have changed bytes neither crash the
+// digest nor are counted twice.
 RC_GTEST_PROP(LogDigestProperty, SurvivesDamagedLines, ()) {
   const std::string whole = CallLine("a", 12.25, 2);
   LogDigest digest;
@@ -157,7 +158,7 @@
   }
   digest.Finish();
   RC_ASSERT(digest.lines() == static_cast<std::uint64_t>(lines));
-  RC_ASSERT(digest.passed_over() <= digest.lines());
+  RC_ASSERT(digest.skipped_lines() <= digest.lines());
 }
 
 }  // namespace
--- a/source/unit_tests/core/reporting/metrics_page_test.cc
+++ b/source/unit_tests/core/reporting/metrics_page_test.cc
@@ -1,4 +1,4 @@
-// The page, against the Prometheus text form written by hand.
+// Tests the page against expected text in the Prometheus format.
 
 #include "core/reporting/metrics_page.h"
 
@@ -11,7 +11,7 @@
 namespace bulrushmount {
 namespace {
 
-TEST(MetricsPageTest, IsInTheTextForm) {
+TEST(MetricsPageTest, IsInTheTextFormat) {
   MetricsRegistry registry;
   registry.GetCounter("calls_total", "Calls.", {{"kind", "book"}}).Add(2);
   registry.GetCounter("calls_total", "Calls.", {{"kind", "book"}}).Add();
@@ -43,8 +43,8 @@
 
 class LabelTest : public testing::TestWithParam<EscapeCase> {};
 
-// Symptom: the page has a line that no metric wrote. Cause: a workspace's name
-// with a line break or a quote was put in as it was.
+// Guards against injected lines: a workspace's name with a line break or a
+// quote was written without escaping.
 TEST_P(LabelTest, IsEscaped) {
   MetricsRegistry registry;
   registry.GetGauge("g", "h", {{"l", GetParam().value}}).Set(1);
@@ -59,9 +59,8 @@
                                          EscapeCase{"a\nb 1", "a\\nb 1"},
                                          EscapeCase{"a\\", "a\\\\"}));
 
-// Symptom: memory grows with each new label. Cause: label values come from
-// callers without bound.
-TEST(MetricsPageTest, SharesOneMetricBeyondTheBound) {
+// Guards against memory growth: callers can send any number of label values.
+TEST(MetricsPageTest, SharesOneMetricAboveTheLimit) {
   MetricsRegistry registry(2);
   for (int label = 0; label < 100; ++label)
     registry.GetCounter("c", "h", {{"l", std::to_string(label)}}).Add();
@@ -76,9 +75,9 @@
   EXPECT_EQ(&first, &second);
 }
 
-TEST(MetricsPageDeathTest, StopsAtAnInvalidNameOrASecondType) {
+TEST(MetricsPageDeathTest, AbortsOnAnInvalidNameOrASecondType) {
   MetricsRegistry registry;
-  // The log is on standard output, and a death test looks at standard error.
+  // The log goes to standard output, but a death test checks standard error.
   EXPECT_DEATH(
       (::dup2(STDERR_FILENO, STDOUT_FILENO), registry.GetCounter("1c", "h")),
       "metrics.invalid");
