--- a/source/unit_tests/core/transport/burn_gatherer_test.cc
+++ b/source/unit_tests/core/transport/burn_report_collector_test.cc
@@ -1,5 +1,5 @@
-// The burn report gathered from other nodes over node streams, and that such a
-// question never reaches a target.
+// Tests that burn reports are collected from other nodes over node streams, and
+// that such a control request never reaches a target.
 
 #include <memory>
 #include <optional>
@@ -10,8 +10,8 @@
 #include <gtest/gtest.h>
 
 #include "core/reporting/burn_report_format.h"
-#include "core/transport/operators/burn_gatherer.h"
-#include "core/transport/peers/control_works.h"
+#include "core/transport/operators/burn_report_collector.h"
+#include "core/transport/peers/control_request_handler.h"
 #include "core/transport/peers/node_stream_codec.h"
 #include "core/transport/peers/node_stream_server.h"
 #include "unit_tests/core/transport/transport_test_support.h"
@@ -27,7 +27,7 @@
   std::vector<std::shared_ptr<WorkStream>> works;
 };
 
-// One series named after its number, with `answered` calls.
+// A part with `series` numbered series of `answered` calls each.
 BurnReport MakePart(std::uint64_t answered, std::size_t series = 1) {
   BurnReport part;
   part.nodes = 1;
@@ -43,7 +43,7 @@
   return part;
 }
 
-// A peer; without a text it holds the question and never answers.
+// A peer that answers with `text`; without a text it refuses the request.
 struct Peer {
   Peer(boost::asio::io_context& context, const std::optional<std::string>& text)
       : server(context, controls) {
@@ -54,30 +54,31 @@
   }
 
   HoldingAcceptor acceptor;
-  ControlWorks controls{acceptor};
+  ControlRequestHandler controls{acceptor};
   NodeStreamServer server;
 };
 
-class BurnGathererTest : public ::testing::Test {
+class BurnReportCollectorTest : public ::testing::Test {
  public:
   Endpoint AddPeer(const std::optional<std::string>& text) {
     peers.push_back(std::make_unique<Peer>(context, text));
     return peers.back()->server.endpoint();
   }
 
-  // A peer that takes the question as if it were a work, and holds it.
+  // A peer that accepts the request like a normal work and never answers.
   Endpoint AddSilentPeer() {
     silent_server = std::make_unique<NodeStreamServer>(context, silent);
     EXPECT_TRUE(silent_server->Listen({"127.0.0.1", 0}));
     return silent_server->endpoint();
   }
 
-  std::optional<BurnReport> Gather(const BurnReport& own,
-                                   std::vector<Endpoint> endpoints,
-                                   const BurnGatherSettings& settings) {
-    BurnGatherer gatherer(context.get_executor(), client, settings);
+  std::optional<BurnReport> Collect(
+      const BurnReport& own,
+      std::vector<Endpoint> endpoints,
+      const BurnReportCollectorSettings& settings) {
+    BurnReportCollector collector(context.get_executor(), client, settings);
     std::optional<BurnReport> gathered;
-    gatherer.Gather(
+    collector.Collect(
         own, std::move(endpoints),
         [&gathered](const BurnReport& report) { gathered = report; });
     EXPECT_FALSE(gathered);
@@ -95,14 +96,14 @@
 
 constexpr Duration kShortLimit = std::chrono::milliseconds(100);
 
-TEST_F(BurnGathererTest, AloneItIsTheOwnPart) {
-  EXPECT_EQ(Gather(MakePart(3), {}, {}), MakePart(3));
+TEST_F(BurnReportCollectorTest, ReturnsItsOwnPartWithoutPeers) {
+  EXPECT_EQ(Collect(MakePart(3), {}, {}), MakePart(3));
 }
 
-TEST_F(BurnGathererTest, MergesAllParts) {
+TEST_F(BurnReportCollectorTest, MergesAllParts) {
   const Endpoint first = AddPeer(ToJson(MakePart(5)));
   const Endpoint second = AddPeer(ToJson(MakePart(7)));
-  const auto report = Gather(MakePart(3), {first, second}, {});
+  const auto report = Collect(MakePart(3), {first, second}, {});
   ASSERT_TRUE(report);
   EXPECT_EQ(report->nodes, 3U);
   EXPECT_EQ(report->nodes_missing, 0U);
@@ -111,113 +112,111 @@
   EXPECT_TRUE(peers[0]->acceptor.works.empty());
 }
 
-TEST_F(BurnGathererTest, TakesAPartOfManyChunks) {
+TEST_F(BurnReportCollectorTest, AcceptsAPartOfManyChunks) {
   const BurnReport part = MakePart(2, 1000);
   const std::string json = ToJson(part);
-  ASSERT_GT(json.size(), 2 * kMaxChunk);
-  const auto report = Gather(BurnReport(), {AddPeer(json)}, {});
+  ASSERT_GT(json.size(), 2 * kMaxChunkBytes);
+  const auto report = Collect(BurnReport(), {AddPeer(json)}, {});
   ASSERT_TRUE(report);
   EXPECT_EQ(report->series, part.series);
 }
 
-TEST_F(BurnGathererTest, CountsAnUnreadablePartAsMissing) {
-  const auto report = Gather(MakePart(3), {AddPeer("{\"nodes\":")}, {});
+TEST_F(BurnReportCollectorTest, CountsAnUnreadablePartAsMissing) {
+  const auto report = Collect(MakePart(3), {AddPeer("{\"nodes\":")}, {});
   ASSERT_TRUE(report);
   EXPECT_EQ(report->nodes, 1U);
   EXPECT_EQ(report->nodes_missing, 1U);
 }
 
-TEST_F(BurnGathererTest, CountsATooLongPartAsMissing) {
-  BurnGatherSettings settings;
+TEST_F(BurnReportCollectorTest, CountsATooLongPartAsMissing) {
+  BurnReportCollectorSettings settings;
   settings.max_part_bytes = 1000;
   const Endpoint peer = AddPeer(ToJson(MakePart(2, 1000)));
-  const auto report = Gather(MakePart(3), {peer}, settings);
+  const auto report = Collect(MakePart(3), {peer}, settings);
   ASSERT_TRUE(report);
   EXPECT_EQ(report->nodes_missing, 1U);
   EXPECT_EQ(report->series.size(), 1U);
 }
 
-TEST_F(BurnGathererTest, CountsARefusalAsMissing) {
-  const auto report = Gather(MakePart(3), {AddPeer(std::nullopt)}, {});
+TEST_F(BurnReportCollectorTest, CountsARefusalAsMissing) {
+  const auto report = Collect(MakePart(3), {AddPeer(std::nullopt)}, {});
   ASSERT_TRUE(report);
   EXPECT_EQ(report->nodes_missing, 1U);
 }
 
-// Symptom: an operator's report never comes.
-// Sequence: a member is killed and its address is asked before the fleet knows.
-// Cause: nobody is there to answer.
-TEST_F(BurnGathererTest, CountsAGoneNodeAsMissing) {
+// Guards against a report that never completes: a member was killed, and the
+// request to it is sent before the fleet has detected that.
+TEST_F(BurnReportCollectorTest, CountsAnUnreachableNodeAsMissing) {
   const Endpoint gone = AddPeer(std::nullopt);
   const Endpoint there = AddPeer(ToJson(MakePart(5)));
   peers[0]->server.Close();
-  const auto report = Gather(MakePart(3), {gone, there}, {});
+  const auto report = Collect(MakePart(3), {gone, there}, {});
   ASSERT_TRUE(report);
   EXPECT_EQ(report->nodes, 2U);
   EXPECT_EQ(report->nodes_missing, 1U);
 }
 
-// Symptom: an operator's report never comes.
-// Sequence: a member is frozen; its kernel still takes connections.
-// Cause: waiting for each part without a limit.
-TEST_F(BurnGathererTest, CountsASilentNodeAsMissing) {
-  BurnGatherSettings settings;
-  settings.part_limit = kShortLimit;
-  settings.max_asked = 1;
+// Guards against a report that never completes: a member is suspended while its
+// kernel still accepts connections, and the wait for a part had no time limit.
+TEST_F(BurnReportCollectorTest, CountsASilentNodeAsMissing) {
+  BurnReportCollectorSettings settings;
+  settings.part_timeout = kShortLimit;
+  settings.max_concurrent_requests = 1;
   const Endpoint silent_peer = AddSilentPeer();
   const Endpoint there = AddPeer(ToJson(MakePart(5)));
-  const auto report = Gather(MakePart(3), {silent_peer, there}, settings);
+  const auto report = Collect(MakePart(3), {silent_peer, there}, settings);
   ASSERT_TRUE(report);
   EXPECT_EQ(report->nodes, 2U);
   EXPECT_EQ(report->nodes_missing, 1U);
 }
 
-// Symptom: a report takes a second for each of many frozen nodes.
-// Sequence: a region is cut off; all its nodes are asked, some at a time.
-// Cause: only each part had a limit.
-TEST_F(BurnGathererTest, GoesOutAtTheWholeLimitAndAsksABoundedNumberAtOnce) {
-  BurnGatherSettings settings;
-  settings.whole_limit = kShortLimit;
-  settings.max_asked = 16;
+// Guards against a report that takes a second for each of many unresponsive
+// nodes, such as those of a disconnected region: only single parts had a time
+// limit.
+TEST_F(BurnReportCollectorTest,
+       ReturnsAtTheTotalTimeoutAndLimitsConcurrentRequests) {
+  BurnReportCollectorSettings settings;
+  settings.total_timeout = kShortLimit;
+  settings.max_concurrent_requests = 16;
   const Endpoint silent_peer = AddSilentPeer();
   const auto report =
-      Gather(MakePart(3), std::vector<Endpoint>(40, silent_peer), settings);
+      Collect(MakePart(3), std::vector<Endpoint>(40, silent_peer), settings);
   ASSERT_TRUE(report);
   EXPECT_EQ(report->nodes, 1U);
   EXPECT_EQ(report->nodes_missing, 40U);
   EXPECT_LE(silent.works.size(), 16U);
 }
 
-TEST_F(BurnGathererTest, AskersDuringARoundShareIt) {
+TEST_F(BurnReportCollectorTest, ConcurrentCallsShareOneCollection) {
   const Endpoint peer = AddPeer(ToJson(MakePart(5)));
-  BurnGatherer gatherer(context.get_executor(), client, {});
+  BurnReportCollector collector(context.get_executor(), client, {});
   std::vector<BurnReport> reports;
   const auto keep = [&reports](const BurnReport& report) {
     reports.push_back(report);
   };
-  gatherer.Gather(MakePart(3), {peer}, keep);
-  gatherer.Gather(MakePart(3), {peer}, keep);
+  collector.Collect(MakePart(3), {peer}, keep);
+  collector.Collect(MakePart(3), {peer}, keep);
   ASSERT_TRUE(RunUntil(context, [&reports] { return reports.size() == 2; }));
   EXPECT_EQ(reports[0], reports[1]);
   EXPECT_EQ(reports[0].nodes, 2U);
 }
 
-// Symptom: use after free when a node ends.
-// Sequence: a round is under way when the process is told to end.
-// Cause: the peers' listeners outlived what they tell.
-TEST_F(BurnGathererTest, MayBeDestroyedDuringARound) {
+// Guards against a use after free when a node shuts down during a collection:
+// the listeners of the requests outlived the object that they notify.
+TEST_F(BurnReportCollectorTest, MayBeDestroyedDuringACollection) {
   const Endpoint peer = AddSilentPeer();
   {
-    BurnGatherer gatherer(context.get_executor(), client, {});
-    gatherer.Gather(MakePart(3), {peer}, [](const BurnReport&) { FAIL(); });
+    BurnReportCollector collector(context.get_executor(), client, {});
+    collector.Collect(MakePart(3), {peer}, [](const BurnReport&) { FAIL(); });
     ASSERT_TRUE(RunUntil(context, [this] { return !silent.works.empty(); }));
   }
   context.poll();
 }
 
-// Symptom: a caller reads the node's report, or a call vanishes in it.
-// Sequence: a caller's request has the path, or the field, of a question.
-// Cause: questions told from calls by what a caller can send.
-TEST_F(BurnGathererTest, CallersRequestIsNoQuestion) {
+// Guards against a caller reading the node's report, or a call being taken for
+// a control request: control requests were recognized by a path or field that a
+// caller can send.
+TEST_F(BurnReportCollectorTest, CallersRequestIsNoControlRequest) {
   WorkRequest request;
   request.work.method = "GET";
   request.work.target = "/bulrushmount/burn";
@@ -225,10 +224,10 @@
   const auto decoded = DecodeRequest(EncodeRequest(request));
   ASSERT_TRUE(decoded);
   EXPECT_EQ(decoded->control, "");
-  const auto question =
+  const auto control_request =
       DecodeRequest(EncodeRequest(MakeControlRequest(kBurnControl)));
-  ASSERT_TRUE(question);
-  EXPECT_EQ(question->control, kBurnControl);
+  ASSERT_TRUE(control_request);
+  EXPECT_EQ(control_request->control, kBurnControl);
 }
 
 }  // namespace
--- a/source/unit_tests/core/transport/caller_limits_test.cc
+++ b/source/unit_tests/core/transport/caller_limits_test.cc
@@ -1,4 +1,4 @@
-// What a caller may hold: connections, heads, bodies and time.
+// Tests the limits on the callers' connections, heads, bodies and time.
 
 #include <chrono>
 #include <memory>
@@ -16,8 +16,8 @@
 
 using std::chrono::milliseconds;
 
-// Connections beyond the bound that may wait for their refusal's end.
-constexpr std::size_t kRefusalsAtOnce = 64;
+// Connections above the limit that may be open while they are being rejected.
+constexpr std::size_t kMaxPendingRefusals = 64;
 
 class AnsweringAcceptor : public CallAcceptor {
  public:
@@ -50,7 +50,7 @@
     return RunUntil(context, [&peer] { return peer.is_at_end(); });
   }
 
-  // Sends `bytes` again and again until the connection is closed.
+  // Sends `bytes` repeatedly until the connection is closed.
   bool DripUntilClosed(RawPeer& peer, const std::string& bytes) {
     const TimePoint end = Now() + kLimit;
     while (!peer.is_at_end() && Now() < end) {
@@ -77,8 +77,8 @@
   EXPECT_EQ(acceptor.calls, 0);
 }
 
-// Empty lines before a head are ignored. Each began the time anew, so a caller
-// that sent nothing else held its connection for ever.
+// Empty lines before a head are ignored. Each one restarted the timeout, so a
+// caller that sent only empty lines could hold its connection forever.
 TEST_F(CallerLimitsTest, EmptyLinesWithoutEndAreClosed) {
   limits.head_time = milliseconds(200);
   Start();
@@ -86,9 +86,9 @@
   EXPECT_TRUE(DripUntilClosed(*peer, "\r\n"));
 }
 
-// Each pair was dropped by a call of its own: some kilobytes of them took as
-// many frames of the stack.
-TEST_F(CallerLimitsTest, ManyEmptyLinesAreNoBurden) {
+// Guards against a stack overflow: each empty line was skipped by a recursive
+// call, so a few kilobytes of them used thousands of stack frames.
+TEST_F(CallerLimitsTest, ManyEmptyLinesAreSkipped) {
   Start();
   const auto peer = Connect();
   std::string lines;
@@ -111,7 +111,7 @@
       RunUntil(context, [this] { return server->connection_count() == 0; }));
 }
 
-TEST_F(CallerLimitsTest, ConnectionsBeyondTheBoundAreToldSo) {
+TEST_F(CallerLimitsTest, ConnectionsAboveTheLimitGetAnErrorAnswer) {
   limits.max_connections = 2;
   Start();
   const auto first = Connect();
@@ -126,7 +126,7 @@
             std::string::npos);
   EXPECT_EQ(acceptor.calls, 0);
 
-  // Whoever leaves makes room.
+  // Closed connections no longer count.
   third->Close();
   first->Close();
   EXPECT_TRUE(
@@ -136,7 +136,7 @@
   EXPECT_TRUE(RunUntil(context, [this] { return acceptor.calls == 1; }));
 }
 
-// Refusals hold descriptors too.
+// Connections that are being rejected also use file descriptors.
 TEST_F(CallerLimitsTest, FloodOfConnectionsStaysBounded) {
   limits.max_connections = 2;
   Start();
@@ -144,7 +144,7 @@
   for (int count = 0; count < 300; ++count) {
     peers.push_back(Connect());
     context.poll();
-    EXPECT_LE(server->connection_count(), 2 + kRefusalsAtOnce);
+    EXPECT_LE(server->connection_count(), 2 + kMaxPendingRefusals);
   }
   EXPECT_TRUE(RunUntil(context, [&peers] {
     int closed = 0;
@@ -154,9 +154,9 @@
   }));
 }
 
-// Answers of an instance that ends while its answers are being written. The
-// writer kept the callbacks, these the connection, and that the writer: when
-// the event loop went, nobody undid the ring.
+// Guards against a leak when a process ends while it writes answers: the writer
+// owned the callbacks, these the connection, and that the writer, and the cycle
+// was not broken when the event loop was destroyed.
 TEST(CallerConnectionLifeTest, NothingOutlivesTheEventLoop) {
   class AnsweringWithMuch : public CallAcceptor {
    public:
@@ -172,7 +172,7 @@
     }
     void OnCallerDisconnected(const CallerExchange&) override {}
     bool IsRepeatable(const CallHead&) const override { return true; }
-    // Held by the callbacks of the answer.
+    // Kept alive by the callbacks of the answer.
     std::weak_ptr<int> held;
   };
   AnsweringWithMuch acceptor;
@@ -190,7 +190,7 @@
   EXPECT_TRUE(acceptor.held.expired());
 }
 
-TEST_F(CallerLimitsTest, HeadIsAsLongAsTheSettingsSay) {
+TEST_F(CallerLimitsTest, MaxHeadSizeFollowsTheSettings) {
   limits.max_head = 1024;
   Start();
   const auto peer = Connect();
@@ -207,7 +207,7 @@
   EXPECT_TRUE(RunUntil(context, [this] { return acceptor.calls == 1; }));
 }
 
-TEST_F(CallerLimitsTest, BodyIsKeptAsTheSettingsSay) {
+TEST_F(CallerLimitsTest, BufferedBodySizeFollowsTheSettings) {
   const std::string post =
       "POST / HTTP/1.1\r\nHost: desk\r\nContent-Length: 40000\r\n\r\n" +
       std::string(40000, 'b');
--- a/source/unit_tests/core/transport/caller_pipeline_property_test.cc
+++ b/source/unit_tests/core/transport/caller_pipeline_property_test.cc
@@ -1,5 +1,5 @@
-// Differential test: several requests of one connection in progress at once
-// against a connection that answers one after another.
+// Differential test: compares pipelined requests that run concurrently on one
+// connection with a connection that runs them sequentially.
 
 #include <cstddef>
 #include <cstdint>
@@ -23,7 +23,7 @@
 
 using std::chrono::milliseconds;
 
-// An answer's body is written in pieces of this size.
+// Answer bodies are written in pieces of this size.
 constexpr std::size_t kPiece = 7000;
 
 enum class AnswerFault : std::uint8_t { kNone, kBeforeHead, kMidway };
@@ -35,7 +35,7 @@
   bool is_answer_chunked = false;
   std::size_t answer = 0;
   AnswerFault fault = AnswerFault::kNone;
-  // Of those in progress the one with the least goes on first.
+  // Of the requests in progress, the one with the lowest turn proceeds first.
   int turn = 0;
 };
 
@@ -67,10 +67,10 @@
       rc::gen::set(&ScriptedRequest::turn, rc::gen::inRange(0, 100)));
 }
 
-// Sends a script's requests in one go, and answers them by their turns.
-class PipelinePlay {
+// Sends the requests of a script at once and answers them in order of `turn`.
+class PipelineRun {
  public:
-  explicit PipelinePlay(std::vector<ScriptedRequest> script)
+  explicit PipelineRun(std::vector<ScriptedRequest> script)
       : m_script(std::move(script)),
         m_server(m_context, m_acceptor, m_random),
         m_is_started(m_script.size(), false) {
@@ -86,12 +86,12 @@
     m_caller->Send(all);
   }
 
-  ~PipelinePlay() {
+  ~PipelineRun() {
     for (const auto& [target, call] : m_acceptor.calls)
       call->Break();
   }
 
-  // Until all are answered or the connection has ended.
+  // Runs until all requests are answered or the connection has ended.
   void Run() {
     const TimePoint end = Now() + kLimit;
     while (answers().size() < m_script.size() && !m_caller->is_at_end()) {
@@ -106,7 +106,8 @@
     return ParseAnswers(m_caller->received());
   }
   const PipelineAcceptor& acceptor() const { return m_acceptor; }
-  // Each was handed in when all that were handed in before had their answers.
+  // Whether each non-repeatable request was submitted only after all requests
+  // submitted before it were answered.
   bool are_bookings_in_turn() const { return m_are_bookings_in_turn; }
 
   std::string TargetOf(std::size_t index) const {
@@ -151,19 +152,19 @@
     ReadBody(*next);
   }
 
-  // The request's body first, as a target would.
+  // Reads the request body before answering, as a target does.
   void ReadBody(std::size_t index) {
     auto source = m_acceptor.calls.at(TargetOf(index))->OpenBody();
     RC_ASSERT(source != nullptr);
-    ReadOn(index, source, 0);
+    ProcessInput(index, source, 0);
   }
 
-  void ReadOn(std::size_t index,
-              const std::shared_ptr<BodySource>& source,
-              std::size_t got) {
+  void ProcessInput(std::size_t index,
+                    const std::shared_ptr<BodySource>& source,
+                    std::size_t got) {
     source->Read([this, index, source, got](const BodyRead& read) {
       if (read.status == BodyStatus::kChunk)
-        ReadOn(index, source, got + read.data.size());
+        ProcessInput(index, source, got + read.data.size());
       else if (read.status == BodyStatus::kEnd && got == m_script[index].body)
         Answer(index);
     });
@@ -219,13 +220,13 @@
   bool m_are_bookings_in_turn = true;
 };
 
-// The naive connection answers one request after another: the k-th answer is
-// the k-th request's whole answer, and the first that fails ends it. Ours may
-// also tell of a failure in its place and go on.
-RC_GTEST_PROP(CallerPipelineProperty, AnswersAreThoseOfANaiveConnection, ()) {
+// On a sequential connection, the k-th answer is the complete answer to the
+// k-th request, and the first failure closes the connection. The tested
+// connection may also replace a failed answer by an error answer and continue.
+RC_GTEST_PROP(CallerPipelineProperty, AnswersMatchASequentialConnection, ()) {
   const auto script = *rc::gen::container<std::vector<ScriptedRequest>>(
       *rc::gen::inRange<std::size_t>(1, 9), AnyRequest());
-  PipelinePlay play(script);
+  PipelineRun play(script);
   play.Run();
   const std::vector<ParsedAnswer> answers = play.answers();
   RC_ASSERT(answers.size() <= script.size());
@@ -238,18 +239,19 @@
                                 play.AnswerBodyOf(index), false};
     RC_ASSERT(answers[index] == expected);
   }
-  // The request without an answer is the one whose answer broke off.
+  // The first request without an answer is the one whose answer failed.
   if (answers.size() < script.size())
     RC_ASSERT(script[answers.size()].fault != AnswerFault::kNone);
 }
 
-// What may not be repeated is handed in only when all before it is answered.
-RC_GTEST_PROP(CallerPipelineProperty, OrderOfWhatMayNotBeRepeatedIsKept, ()) {
+// A non-repeatable request is submitted only after all earlier requests are
+// answered.
+RC_GTEST_PROP(CallerPipelineProperty, NonRepeatableRequestsKeepTheirOrder, ()) {
   auto script = *rc::gen::container<std::vector<ScriptedRequest>>(
       *rc::gen::inRange<std::size_t>(2, 9), AnyRequest());
   for (ScriptedRequest& request : script)
     request.fault = AnswerFault::kNone;
-  PipelinePlay play(script);
+  PipelineRun play(script);
   play.Run();
   RC_ASSERT(play.are_bookings_in_turn());
   const std::vector<std::string>& targets = play.acceptor().targets;
--- a/source/unit_tests/core/transport/caller_pipeline_support.h
+++ b/source/unit_tests/core/transport/caller_pipeline_support.h
@@ -1,4 +1,4 @@
-// What the tests of several requests in progress on one connection share.
+// Helpers for the tests of pipelined requests on a caller's connection.
 
 #ifndef BULRUSHMOUNT_UNIT_TESTS_CORE_TRANSPORT_CALLER_PIPELINE_SUPPORT_H_
 #define BULRUSHMOUNT_UNIT_TESTS_CORE_TRANSPORT_CALLER_PIPELINE_SUPPORT_H_
@@ -16,10 +16,10 @@
 
 namespace bulrushmount::testing {
 
-// Requests whose path starts with this may be repeated.
+// Requests whose path starts with this are repeatable.
 inline constexpr std::string_view kRepeatable = "/safe";
 
-// Keeps the calls, in the order in which they are handed in.
+// Records the calls in the order of their submission.
 class PipelineAcceptor : public CallAcceptor {
  public:
   void OnCall(std::shared_ptr<CallerExchange> exchange) override {
@@ -65,7 +65,7 @@
              << answer.body.size() << (answer.is_closing ? " closing" : "");
 }
 
-// The whole answers at the start of `bytes`.
+// Parses the complete answers at the start of `bytes`.
 std::vector<ParsedAnswer> ParseAnswers(std::string_view bytes);
 
 }  // namespace bulrushmount::testing
--- a/source/unit_tests/core/transport/caller_pipeline_test.cc
+++ b/source/unit_tests/core/transport/caller_pipeline_test.cc
@@ -1,5 +1,5 @@
-// Several requests of one connection in progress at once: the answers come in
-// the order of the requests, and no request's fate touches another's.
+// Tests pipelining: several requests of one connection run concurrently, are
+// answered in order, and do not affect each other.
 
 #include <chrono>
 #include <functional>
@@ -18,7 +18,7 @@
 
 using std::chrono::milliseconds;
 
-// Of bodies that do not fit into what is kept.
+// Sizes of bodies that exceed the buffer for answers.
 constexpr std::size_t kLong = 400'000;
 constexpr std::size_t kPiece = 10'000;
 constexpr std::size_t kBody = 200'000;
@@ -48,7 +48,7 @@
     return RunUntil(context, [this, &target] { return acceptor.Has(target); });
   }
 
-  // Runs what is ready, until nothing happens for a moment.
+  // Runs the event loop until it is idle for 20 ms.
   void Settle() {
     std::size_t ran = 1;
     while (ran > 0) {
@@ -85,11 +85,10 @@
   std::shared_ptr<RawPeer> caller;
 };
 
-// Symptom: the last of a series of requests is late although targets are idle.
-// Sequence: a caller sends several requests at once; each takes as long as its
-// latency objective allows for one.
-// Cause: a request was read only when the one before it was answered.
-TEST_F(CallerPipelineTest, RequestsAreWorkedOnAtOnceAndAnsweredInOrder) {
+// Guards against requests that are late although targets are idle: a caller
+// sends several requests at once, each of which uses up the latency objective,
+// and a request was read only when the one before it was answered.
+TEST_F(CallerPipelineTest, RequestsRunConcurrentlyAndAreAnsweredInOrder) {
   StartAndSend({"/safe/0", "/safe/1", "/safe/2"});
   ASSERT_TRUE(RunUntilCall("/safe/2"));
   Answer("/safe/2");
@@ -102,31 +101,30 @@
     EXPECT_EQ(answers()[index].target, "/safe/" + std::to_string(index));
 }
 
-// Symptom: a booking runs twice.
-// Sequence: a caller sends a booking behind another request; the answer to that
-// closes the connection, and the caller sends the booking again.
-// Cause: the booking was handed in before it was clear that its turn comes.
-TEST_F(CallerPipelineTest, WhatMayNotBeRepeatedWaitsForItsTurn) {
+// Guards against running a non-repeatable request twice: the answer to an
+// earlier request closes the connection, and the caller sends the request again
+// although it had already been submitted.
+TEST_F(CallerPipelineTest, NonRepeatableRequestWaitsForItsTurn) {
   StartAndSend({"/safe/0", "/book/1", "/safe/2"});
   ASSERT_TRUE(RunUntilCall("/safe/0"));
   Settle();
   EXPECT_EQ(acceptor.targets, std::vector<std::string>{"/safe/0"});
   Answer("/safe/0");
   ASSERT_TRUE(RunUntilCall("/book/1"));
-  // Behind it anything that may be repeated is worked on.
+  // Repeatable requests behind it run concurrently.
   ASSERT_TRUE(RunUntilCall("/safe/2"));
   Answer("/safe/2");
   Answer("/book/1");
   EXPECT_TRUE(RunUntilAnswers(3));
 }
 
-// What was passed on is answered before the connection closes, the last answer
-// alone says so, and nothing behind it is read.
-TEST_F(CallerPipelineTest, DrainingAnswersWhatIsInProgress) {
+// Submitted requests are answered before the connection closes, only the last
+// answer announces the close, and no request behind it is read.
+TEST_F(CallerPipelineTest, DrainingAnswersRequestsInProgress) {
   limits.max_pipelined = 2;
   StartAndSend({"/safe/0", "/safe/1", "/safe/2"});
   ASSERT_TRUE(RunUntilCall("/safe/1"));
-  server->EndAfterAnswers();
+  server->CloseAfterAnswers();
   Answer("/safe/1");
   Answer("/safe/0");
   ASSERT_TRUE(RunUntilEnd());
@@ -153,10 +151,9 @@
   EXPECT_FALSE(acceptor.Has("/safe/2"));
 }
 
-// Symptom: the answer to a sound request is lost, or told as a fault.
-// Sequence: a faulty request comes behind one that is being worked on.
-// Cause: the refusal was written at once, before the answer it stands behind.
-TEST_F(CallerPipelineTest, FaultyRequestIsRefusedInItsPlace) {
+// Guards against a valid request losing its answer when a malformed request
+// follows it: the rejection was written at once, before the earlier answer.
+TEST_F(CallerPipelineTest, MalformedRequestIsRejectedInOrder) {
   Start();
   caller->Send(Get("/safe/0") + "hello\r\n\r\n");
   ASSERT_TRUE(RunUntilCall("/safe/0"));
@@ -171,7 +168,7 @@
   EXPECT_TRUE(answers()[1].is_closing);
 }
 
-TEST_F(CallerPipelineTest, CallerWhoLeavesIsToldOfForEachRequest) {
+TEST_F(CallerPipelineTest, DisconnectIsReportedForEachRequest) {
   StartAndSend({"/safe/0", "/safe/1", "/book/2"});
   ASSERT_TRUE(RunUntilCall("/safe/1"));
   caller->Close();
@@ -182,23 +179,22 @@
 
 struct Broken {
   const char* name;
-  // Of the request whose answer breaks off.
+  // Index of the request whose answer is interrupted.
   std::size_t index;
   BodyShape shape;
-  // Bytes of its body that come before.
+  // Bytes of its body that are written before that.
   std::size_t sent;
-  // Whether the others get their answers.
+  // Whether the other requests get their answers.
   bool spares_others;
 };
 
 class BrokenAnswerTest : public CallerPipelineTest,
                          public ::testing::WithParamInterface<Broken> {};
 
-// Symptom: requests that sound targets are at work on lose their answers.
-// Sequence: on a connection with several requests in progress one target breaks
-// off its answer.
-// Cause: the connection was closed for it, although no byte of it had left.
-TEST_P(BrokenAnswerTest, IsToldInItsPlaceIfNothingOfItHasLeft) {
+// Guards against requests on healthy targets losing their answers when one
+// target interrupts its answer: the connection was closed although no byte of
+// that answer had been sent.
+TEST_P(BrokenAnswerTest, IsReplacedIfNoByteWasSent) {
   StartAndSend({"/safe/0", "/safe/1", "/safe/2"});
   ASSERT_TRUE(RunUntilCall("/safe/2"));
   const std::string target = "/safe/" + std::to_string(GetParam().index);
@@ -232,7 +228,7 @@
         Broken{"ShortBehind", 1, {BodyFraming::kLength, 100}, 50, true},
         Broken{"ChunkedBehind", 2, {BodyFraming::kChunked, 0}, 50, true},
         Broken{"LongBehind", 1, {BodyFraming::kLength, 900'000}, 50, true},
-        // Its first bytes are with the caller.
+        // Its first bytes have been sent to the caller.
         Broken{"LongInFront",
                0,
                {BodyFraming::kLength, 900'000},
@@ -240,23 +236,22 @@
                false}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// Symptom: memory grows with what callers do not read.
-// Sequence: a long answer is ready behind a request that takes long.
-// Cause: all of it was kept until its turn.
-TEST_F(CallerPipelineTest, LongAnswerWaitsForRoomUntilItsTurn) {
+// Guards against memory growth: a long answer behind a slow request was
+// buffered completely until its turn.
+TEST_F(CallerPipelineTest, LongAnswerIsNotReadBeforeItsTurn) {
   StartAndSend({"/safe/0", "/safe/1"});
   ASSERT_TRUE(RunUntilCall("/safe/1"));
   const auto sink = Begin("/safe/1", {BodyFraming::kLength, kLong});
   std::size_t taken = 0;
-  std::function<void(bool)> write_on = [&](bool is_written) {
+  std::function<void(bool)> write_next = [&](bool is_written) {
     ASSERT_TRUE(is_written);
     taken += kPiece;
     if (taken < kLong)
-      sink->Write(std::string(kPiece, 'b'), write_on);
+      sink->Write(std::string(kPiece, 'b'), write_next);
     else
       sink->Finish([](bool) {});
   };
-  sink->Write(std::string(kPiece, 'b'), write_on);
+  sink->Write(std::string(kPiece, 'b'), write_next);
   Settle();
   EXPECT_EQ(taken, kPiece);
   Answer("/safe/0");
@@ -264,8 +259,8 @@
   EXPECT_EQ(answers()[1].body, std::string(kLong, 'b'));
 }
 
-// A caller that does not read its answer has nothing further worked on.
-TEST_F(CallerPipelineTest, NothingIsTakenWhileAnAnswerIsOnItsWay) {
+// No further requests run for a caller that does not read its answer.
+TEST_F(CallerPipelineTest, NoRequestIsReadWhileAnAnswerIsSent) {
   Start();
   caller->Pause();
   caller->Send(Get("/safe/0"));
@@ -281,7 +276,7 @@
   EXPECT_TRUE(RunUntilCall("/safe/1"));
 }
 
-TEST_F(CallerPipelineTest, BoundOfOneConnectionHolds) {
+TEST_F(CallerPipelineTest, LimitPerConnectionHolds) {
   limits.max_pipelined = 2;
   StartAndSend({"/safe/0", "/safe/1", "/safe/2", "/safe/3"});
   ASSERT_TRUE(RunUntilCall("/safe/1"));
@@ -293,9 +288,9 @@
   EXPECT_EQ(acceptor.calls.size(), 3U);
 }
 
-// The oldest of each connection always goes on: the bound is on what is done
-// ahead.
-TEST_F(CallerPipelineTest, BoundOfAllConnectionsHolds) {
+// The oldest request of each connection always runs; the limit applies to
+// requests that run ahead of their turn.
+TEST_F(CallerPipelineTest, LimitOverAllConnectionsHolds) {
   limits.max_read_ahead = 1;
   StartAndSend({"/safe/a0", "/safe/a1", "/safe/a2"});
   ASSERT_TRUE(RunUntilCall("/safe/a1"));
@@ -311,8 +306,8 @@
   EXPECT_TRUE(RunUntilCall("/safe/b1"));
 }
 
-// A body in front holds back the heads behind it.
-TEST_F(CallerPipelineTest, NothingIsTakenBehindABodyThatIsNotRead) {
+// The heads behind an unread body are not read.
+TEST_F(CallerPipelineTest, NoRequestIsReadBehindAnUnreadBody) {
   Start();
   caller->Send("POST /safe/0 HTTP/1.1\r\nHost: desk\r\nContent-Length: " +
                std::to_string(kBody) + "\r\n\r\n" + std::string(kBody, 'b') +
@@ -332,11 +327,10 @@
   EXPECT_EQ(got, kBody);
 }
 
-// Symptom: a request in progress loses its answer.
-// Sequence: its connection is silent for longer than a connection may be idle,
-// or a head behind it comes too slowly.
-// Cause: the limits of what the caller has to send ran while it had to wait.
-TEST_F(CallerPipelineTest, TimesOfTheCallerDoNotRunWhileItWaits) {
+// Guards against a request in progress losing its answer because its connection
+// exceeds the idle timeout, or because a later head arrives too slowly: the
+// caller's timeouts ran while it waited for an answer.
+TEST_F(CallerPipelineTest, CallerTimeoutsDoNotRunWhileItWaits) {
   limits.idle_time = milliseconds(50);
   limits.head_time = milliseconds(50);
   Start();
@@ -347,7 +341,7 @@
   EXPECT_FALSE(caller->is_at_end());
   Answer("/safe/0");
   EXPECT_TRUE(RunUntilAnswers(1));
-  // Now they run.
+  // From here on the timeouts run.
   EXPECT_TRUE(RunUntilEnd());
 }
 
--- a/source/unit_tests/core/transport/caller_server_test.cc
+++ b/source/unit_tests/core/transport/caller_server_test.cc
@@ -1,4 +1,4 @@
-// Requests that must not get through, and what the caller is told.
+// Tests which requests the caller server rejects, and its answers to callers.
 
 #include <memory>
 #include <optional>
@@ -13,8 +13,8 @@
 namespace bulrushmount::testing {
 namespace {
 
-// Keeps the calls and answers none.
-class KeepingAcceptor : public CallAcceptor {
+// Records the calls without answering them.
+class RecordingAcceptor : public CallAcceptor {
  public:
   void OnCall(std::shared_ptr<CallerExchange> exchange) override {
     calls.push_back(std::move(exchange));
@@ -47,7 +47,7 @@
 
   boost::asio::io_context context;
   SeededRandomSource random{1};
-  KeepingAcceptor acceptor;
+  RecordingAcceptor acceptor;
   CallerServer server;
   std::shared_ptr<RawPeer> caller;
 };
@@ -133,12 +133,11 @@
 class MalformedTest : public CallerServerTest,
                       public ::testing::WithParamInterface<Malformed> {};
 
-// Symptom: a part of one request runs as another one, perhaps another caller's.
-// Events: a request whose end two programs would find in two places.
-// Cause: this node reads it one way and a target another way.
+// Guards against request smuggling, where part of one request runs as another
+// request: the node and a target disagree about where the request ends.
 TEST_P(MalformedTest, IsRefusedNotRunAndTheConnectionCloses) {
   caller->Send(GetParam().request);
-  // Were the connection kept, this would be taken for the next request.
+  // Would be read as the next request if the connection stayed open.
   caller->Send(Get("/smuggled"));
   ASSERT_TRUE(RunUntil(context, [this] { return caller->is_at_end(); }));
   const std::string& got = caller->received();
@@ -189,8 +188,8 @@
 
 TEST_F(CallerServerTest, SmallBodiesAreBufferedAndCanBeSentAgain) {
   for (const BodySize& one :
-       {BodySize{0, true}, BodySize{kBufferedBody - 1, true},
-        BodySize{8 * kBufferedBody, false}}) {
+       {BodySize{0, true}, BodySize{kMinBufferedBodyBytes - 1, true},
+        BodySize{8 * kMinBufferedBodyBytes, false}}) {
     const std::size_t before = acceptor.calls.size();
     const auto peer = RawPeer::Connect(context, server.endpoint());
     peer->Send(
@@ -238,14 +237,14 @@
         "Bulrushmount-Request-Id: "}) {
     EXPECT_NE(caller->received().find(field), std::string::npos) << field;
   }
-  // The connection goes on.
+  // The connection stays usable.
   caller->Send(Get("/b"));
   ASSERT_TRUE(RunUntilCalls(2));
 }
 
 TEST_F(CallerServerTest, AnswerBeforeTheWholeRequestClosesTheConnection) {
   caller->Send(WithFields("Content-Length: 1000000\r\n") +
-               std::string(2 * kBufferedBody, 'b'));
+               std::string(2 * kMinBufferedBodyBytes, 'b'));
   ASSERT_TRUE(RunUntilCalls(1));
   acceptor.calls[0]->Answer(AnswerHead{200, {}, {}}, "early");
   ASSERT_TRUE(RunUntil(context, [this] { return caller->is_at_end(); }));
@@ -254,7 +253,7 @@
   EXPECT_TRUE(caller->received().ends_with("early"));
 }
 
-TEST_F(CallerServerTest, ContinueIsSentToWhoWaitsForIt) {
+TEST_F(CallerServerTest, ContinueIsSentWhenExpected) {
   caller->Send(WithFields("Content-Length: 2\r\nExpect: 100-continue\r\n"));
   ASSERT_TRUE(RunUntil(context, [this] {
     return caller->received() == "HTTP/1.1 100 Continue\r\n\r\n";
@@ -263,20 +262,19 @@
   ASSERT_TRUE(RunUntilCalls(1));
 }
 
-TEST_F(CallerServerTest, CallerWhoLeavesIsNoticedWhileItWaits) {
+TEST_F(CallerServerTest, DisconnectIsNoticedWhileTheCallerWaits) {
   caller->Send(Get("/a"));
   ASSERT_TRUE(RunUntilCalls(1));
   caller->Close();
   EXPECT_TRUE(RunUntil(context, [this] { return acceptor.gone == 1; }));
-  // Without effect, and harmless.
+  // Must have no effect.
   acceptor.calls[0]->Answer(AnswerHead{200, {}, {}}, "late");
 }
 
-// Symptom: a call whose caller has its whole answer counts as unknown, and a
-// repeat of its key is told so.
-// Sequence: the last byte of the length is with the caller, which closes; the
-// source's end is told a moment later.
-// Cause: any end of what the caller sends was taken for its leaving.
+// Guards against a call with a complete answer being counted as unknown, and
+// retries with its idempotency key being answered so: the caller closes after
+// the last byte of the declared length, before the body source reports its end,
+// and every close was treated as a disconnect.
 TEST_F(CallerServerTest, CallerThatClosesAfterTheLastByteHasItsAnswer) {
   caller->Send("GET / HTTP/1.1\r\nHost: desk\r\n\r\n");
   ASSERT_TRUE(RunUntilCalls(1));
@@ -290,7 +288,7 @@
   ASSERT_TRUE(RunUntil(
       context, [this] { return caller->received().ends_with("hello"); }));
   caller->Close();
-  // Once a later caller is heard, the close has been heard as well.
+  // When a later caller's request has arrived, the close has been seen, too.
   const auto other = RawPeer::Connect(context, server.endpoint());
   other->Send("GET / HTTP/1.1\r\nHost: desk\r\n\r\n");
   ASSERT_TRUE(RunUntilCalls(2));
@@ -302,8 +300,8 @@
   EXPECT_EQ(acceptor.gone, 0);
 }
 
-// The same close before the last byte: the caller has no whole answer.
-TEST_F(CallerServerTest, CallerThatClosesBeforeTheLastByteIsGone) {
+// The same close before the last byte: the caller's answer is incomplete.
+TEST_F(CallerServerTest, CallerThatClosesBeforeTheLastByteIsDisconnected) {
   caller->Send("GET / HTTP/1.1\r\nHost: desk\r\n\r\n");
   ASSERT_TRUE(RunUntilCalls(1));
   AnswerHead head;
--- a/source/unit_tests/core/transport/hostile_peer_test.cc
+++ b/source/unit_tests/core/transport/hostile_peer_test.cc
@@ -1,6 +1,6 @@
-// Peers that mean harm: node streams with illegal or immense frames, and
-// callers that hold connections. None may get more than its bound, and none may
-// keep others from being served.
+// Tests hostile peers on the stream address, which send illegal or excessive
+// frames or invalid fields. No peer may exceed its limits or keep others from
+// being served.
 
 #include <chrono>
 #include <functional>
@@ -54,7 +54,7 @@
   return "\x82\x86\x84";
 }
 
-// What an nghttp2 client would send that heeds no bound of its peer.
+// Generates the bytes of an nghttp2 client that ignores its peer's limits.
 class GreedyClient {
  public:
   GreedyClient() {
@@ -102,7 +102,7 @@
   nghttp2_session* m_session = nullptr;
 };
 
-HeaderList SoundFields() {
+HeaderList ValidFields() {
   WorkRequest request;
   request.work.method = "GET";
   request.work.target = "/a";
@@ -118,12 +118,12 @@
     peer = RawPeer::Connect(context, server.endpoint());
   }
 
-  // Another peer's request still gets through.
+  // Expects that another peer's request is still served.
   void ExpectServing() {
     const std::size_t before = acceptor.works.size();
     auto other = RawPeer::Connect(context, server.endpoint());
     GreedyClient client;
-    HeaderList fields = SoundFields();
+    HeaderList fields = ValidFields();
     client.Submit(fields);
     other->Send(client.Take());
     EXPECT_TRUE(RunUntil(context, [this, before] {
@@ -132,7 +132,7 @@
     other->Close();
   }
 
-  // Until the server has a request after it: it has read all before then.
+  // Whether a RST_STREAM frame for stream 1 has been received.
   bool IsResetSeen() const {
     return peer->received().find(std::string("\0\0\x04\x03\0\0\0\0\x01", 9)) !=
            std::string::npos;
@@ -144,11 +144,11 @@
   std::shared_ptr<RawPeer> peer;
 };
 
-// A long field is sent once; HPACK repeats it in one byte each. 500 of them
-// made 1.4 MB of a head of 5 KB, and 4,096 streams would have made 5.9 GB.
+// HPACK encodes each repetition of a long field in one byte. 500 repetitions
+// expanded a head of 5 KB to 1.4 MB; on 4,096 streams that would be 5.9 GB.
 TEST_F(HostilePeerTest, HeadThatHpackInflatesIsReset) {
   GreedyClient client;
-  HeaderList fields = SoundFields();
+  HeaderList fields = ValidFields();
   for (int count = 0; count < 500; ++count)
     fields.push_back({"x-long", std::string(2900, 'a')});
   client.Submit(fields);
@@ -161,7 +161,7 @@
   ExpectServing();
 }
 
-// Trailers are heads too. nghttp2 or the bound on a stream's heads ends them.
+// Trailers count as heads; nghttp2 or the limit on a stream's heads stops them.
 TEST_F(HostilePeerTest, EndlessTrailersAreReset) {
   std::string trailer = SmallHead();
   for (int count = 0; count < 100; ++count)
@@ -178,9 +178,9 @@
   ExpectServing();
 }
 
-TEST_F(HostilePeerTest, StreamsBeyondTheBoundAreRefused) {
+TEST_F(HostilePeerTest, StreamsAboveTheLimitAreRefused) {
   GreedyClient client;
-  HeaderList fields = SoundFields();
+  HeaderList fields = ValidFields();
   for (std::size_t count = 0; count < kMaxStreams + 100; ++count)
     client.Submit(fields);
   peer->Send(client.Take());
@@ -245,7 +245,7 @@
                            return std::string(param.param.name);
                          });
 
-// A stream's window is 65,535 bytes, and nobody reads here.
+// The window of a stream is 65,535 bytes, and this test does not read from it.
 TEST_F(HostilePeerTest, DataBeyondTheWindowIsNotKept) {
   std::string bytes =
       Preface() +
@@ -258,19 +258,19 @@
   ExpectServing();
 }
 
-// --- What a field of a node stream may say ----------------------------------
+// --- Invalid fields of a node stream ----------------------------------------
 
 struct WrongField {
   const char* name;
   const char* value;
 };
 
-class WrongFieldTest : public ::testing::TestWithParam<WrongField> {};
+class InvalidFieldTest : public ::testing::TestWithParam<WrongField> {};
 
-// A weight that is no number put the admission's queue out of order, and a
-// duration that just fits overflowed when it was added to the time.
-TEST_P(WrongFieldTest, IsRefused) {
-  HeaderList request = SoundFields();
+// A NaN as weight corrupted the order of the admission queue, and a duration
+// close to the maximum overflowed when it was added to the current time.
+TEST_P(InvalidFieldTest, IsRefused) {
+  HeaderList request = ValidFields();
   HeaderList reply =
       EncodeReply({OwnerVerdict::kRefused, Reason::kShed, {}, {}});
   ASSERT_TRUE(DecodeRequest(request));
@@ -288,7 +288,7 @@
 
 INSTANTIATE_TEST_SUITE_P(
     ,
-    WrongFieldTest,
+    InvalidFieldTest,
     ::testing::Values(
         WrongField{"bulrushmount-weight", "nan"},
         WrongField{"bulrushmount-weight", "inf"},
@@ -307,12 +307,12 @@
         WrongField{"bulrushmount-workspace", "a\nX-A: 1"},
         WrongField{"bulrushmount-request-id", "a\x01"}));
 
-// A line's end in a field split the request that the owner wrote to its target:
-// HTTP/2 carries any bytes, and both fields went out as they came.
+// A line break in a field split the request that the owner wrote to its target:
+// HTTP/2 can carry any bytes, and fields were forwarded unchanged.
 TEST(FieldNameTest, NamesThatHttp1ReadsOtherwiseAreRefused) {
   for (const char* const name :
        {"bulrUshmount-weight", "x a", "x\r\ny", "x:y", "", ":"}) {
-    HeaderList request = SoundFields();
+    HeaderList request = ValidFields();
     request.push_back({name, "1"});
     EXPECT_FALSE(DecodeRequest(request)) << name;
   }
--- a/source/unit_tests/core/transport/node_driver_test.cc
+++ b/source/unit_tests/core/transport/node_driver_test.cc
@@ -1,4 +1,5 @@
-// The driver around its relays: flat memory, shutdown, stalls, control pages.
+// Tests the node driver: bounded memory of relays, shutdown, stalled answers,
+// and the operator, target and health probe protocols.
 
 #include <malloc.h>
 
@@ -15,7 +16,7 @@
 namespace bulrushmount::testing {
 namespace {
 
-// A download, the target's writes, and what the heap may grow by on the way.
+// Sizes of a download and of the target's writes, and the allowed heap growth.
 constexpr std::size_t kTotal = std::size_t{128} << 20;
 constexpr std::size_t kBlock = 1 << 16;
 constexpr std::size_t kAllowed = 3 << 20;
@@ -44,9 +45,9 @@
   std::shared_ptr<RawPeer> caller;
 };
 
-// Symptom: a node's memory grows with a download until the machine ends it.
-// Events: the target sends as fast as it can, the caller reads slowly.
-// Cause: some stage reads on although the next one has not taken its bytes.
+// Guards against memory that grows with a download until the process is killed:
+// the target sends fast, the caller reads slowly, and some stage keeps reading
+// although the next one has not accepted its bytes.
 TEST_F(NodeDriverTest, MemoryStaysFlatBehindASlowReader) {
   std::size_t to_send = kTotal;
   StartTarget([&to_send](RawPeer& peer) {
@@ -71,7 +72,7 @@
     }
     got += caller->received().size();
     caller->received().clear();
-    // Slow: one read in so many turns of the loop.
+    // Slow: reads only in some iterations of the event loop.
     if (++turn % 8 == 0) {
       caller->Read();
       caller->Pause();
@@ -85,9 +86,8 @@
   EXPECT_LT(growth, kAllowed);
 }
 
-// Symptom: a shutdown cuts a download.
-// Events: SIGTERM at the owner and at the entry while an answer is relayed.
-// Cause: the process ends before its streams do.
+// Guards against a shutdown that interrupts a download: owner and entry get
+// SIGTERM while an answer is relayed, and exit before their streams have ended.
 TEST_F(NodeDriverTest, ShutdownLetsTheStreamInProgressFinish) {
   StartTarget([](RawPeer& peer) {
     peer.received().clear();
@@ -111,7 +111,7 @@
   EXPECT_TRUE(RunUntil(context, [&] { return clean_exits == 2; }));
 }
 
-TEST_F(NodeDriverTest, SecondShutdownEndsAtOnceAndVisiblyBreaks) {
+TEST_F(NodeDriverTest, SecondShutdownExitsAtOnceAndResetsConnections) {
   StartTarget([](RawPeer& peer) {
     peer.received().clear();
     peer.Send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhello");
@@ -132,10 +132,9 @@
   EXPECT_TRUE(RunUntil(context, [this] { return caller->is_at_end(); }));
 }
 
-// Symptom: a caller hangs on an answer that will never go on.
-// Events: the target sends half of an answer and then nothing, for ever.
-// Cause: the deadline only bounds the first byte.
-TEST_F(NodeDriverTest, StalledAnswerIsBrokenOff) {
+// Guards against a caller that waits forever for the rest of an answer: the
+// target stops in the middle, and the deadline only limits the first byte.
+TEST_F(NodeDriverTest, StalledAnswerIsAborted) {
   DriverSettings settings = LoopbackSettings(3);
   settings.min_progress_time = std::chrono::milliseconds(100);
   RelayBrain brain;
@@ -173,7 +172,7 @@
   const char* contains;
 };
 
-class KeepingSink : public EventSink {
+class RecordingSink : public EventSink {
  public:
   void Emit(NodeEvent event) override { events.push_back(std::move(event)); }
   std::vector<NodeEvent> events;
@@ -211,7 +210,7 @@
   for (const ControlCase& one : cases) {
     SCOPED_TRACE(one.name);
     boost::asio::io_context context;
-    KeepingSink events;
+    RecordingSink events;
     OperatorServer server(context, "secret", events);
     server.AddPage("/ready", OperatorServer::Access::kOpen, [] {
       return ControlReply{200, "text/plain", "ready", {}, {}};
@@ -239,7 +238,7 @@
   }
 }
 
-TEST(TargetServer, AnnouncementsAreReadOrRefusedWithEveryFault) {
+TEST(TargetServer, AnnouncementsAreParsedOrRejectedWithEveryError) {
   std::string fault;
   const auto sound = ParseAnnouncement(
       R"({"service":"desk","port":80,"slots":12,"connections":220,)"
@@ -262,7 +261,7 @@
 
 TEST(TargetServer, TargetAnnouncesAndWithdrawsItself) {
   boost::asio::io_context context;
-  KeepingSink events;
+  RecordingSink events;
   TargetServer server(context, events);
   ASSERT_TRUE(server.Listen({"127.0.0.1", 0}));
   const auto peer = RawPeer::Connect(context, server.endpoint());
@@ -283,13 +282,13 @@
   bool is_healthy;
 };
 
-TEST_F(NodeDriverTest, ProbesTellHealthyUnhealthyAndFailed) {
+TEST_F(NodeDriverTest, ProbesReportHealthyUnhealthyAndFailed) {
   const ProbeCase cases[] = {
       {kHello, true, true},
       {"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", true, false},
       {"no answer\r\n\r\n", false, false}};
   for (const ProbeCase& one : cases) {
-    KeepingSink events;
+    RecordingSink events;
     RawTarget probed(context, Always(one.answer));
     auto prober =
         std::make_unique<Prober>(context.get_executor(), "/health", events);
@@ -299,23 +298,24 @@
     const auto* const got = std::get_if<ProbeAnswered>(&events.events[0]);
     EXPECT_EQ(got != nullptr, one.is_answered);
     EXPECT_EQ(got != nullptr && got->is_healthy, one.is_healthy);
-    // Its time is over, as after a pause of the process: not sent.
+    // A probe that has expired, as after a suspension of the process, is not
+    // sent.
     prober->Send(SendProbe{ProbeId(2), probed.endpoint(), Now(), later});
     ASSERT_TRUE(RunUntil(context, [&] { return events.events.size() == 2; }));
     EXPECT_TRUE(std::holds_alternative<ProbeFailed>(events.events[1]));
     EXPECT_EQ(probed.connections(), 1U);
     probed.Close();
-    // It keeps a connection for the next probe until it ends.
+    // The prober keeps a connection for the next probe until it is destroyed.
     prober.reset();
     ASSERT_TRUE(RunUntil(context, [&] { return probed.peer(0).is_at_end(); }));
     context.poll();
   }
 }
 
-// Symptom: each probe costs the target a handshake, and one that is asked forty
-// times a second has as many new connections. Cause: one connection a probe.
-TEST_F(NodeDriverTest, ProbesFollowOneAnotherOnOneConnection) {
-  KeepingSink events;
+// Guards against a handshake for every probe: a target that was probed forty
+// times a second got as many new connections.
+TEST_F(NodeDriverTest, ProbesReuseOneConnection) {
+  RecordingSink events;
   RawTarget probed(context, Always(kHello));
   auto prober =
       std::make_unique<Prober>(context.get_executor(), "/health", events);
--- a/source/unit_tests/core/transport/node_stream_test.cc
+++ b/source/unit_tests/core/transport/node_stream_test.cc
@@ -1,4 +1,5 @@
-// What an entry may conclude from the end of a node stream.
+// Tests what the end of a node stream tells the entry about the request, and
+// the handling of unresponsive peers.
 
 #include <memory>
 #include <string>
@@ -15,7 +16,7 @@
 namespace bulrushmount::testing {
 namespace {
 
-class KeepingListener : public AttemptListener {
+class RecordingListener : public AttemptListener {
  public:
   void OnRefused(Reason reason, const LoadReport&) override {
     refused = reason;
@@ -40,7 +41,7 @@
   bool is_silent = false;
 };
 
-class KeepingAcceptor : public WorkAcceptor {
+class RecordingAcceptor : public WorkAcceptor {
  public:
   void OnWork(std::shared_ptr<WorkStream> stream) override {
     works.push_back(std::move(stream));
@@ -61,7 +62,7 @@
  public:
   NodeStreamTest() { EXPECT_TRUE(server.Listen({"127.0.0.1", 0})); }
 
-  std::shared_ptr<AttemptStream> Open(KeepingListener& listener,
+  std::shared_ptr<AttemptStream> Open(RecordingListener& listener,
                                       const WorkRequest& request) {
     return client.Open(server.endpoint(), request, &listener);
   }
@@ -71,12 +72,12 @@
                     [this, count] { return acceptor.works.size() == count; });
   }
 
-  bool RunUntilLost(const KeepingListener& listener) {
+  bool RunUntilLost(const RecordingListener& listener) {
     return RunUntil(context, [&listener] { return listener.lost > 0; });
   }
 
   boost::asio::io_context context;
-  KeepingAcceptor acceptor;
+  RecordingAcceptor acceptor;
   NodeStreamServer server{context, acceptor};
   NodeStreamClient client{context.get_executor()};
 };
@@ -84,18 +85,18 @@
 TEST_F(NodeStreamTest, UnreachableOwnerHasCertainlyNotRun) {
   const Endpoint endpoint = server.endpoint();
   server.Close();
-  KeepingListener listener;
+  RecordingListener listener;
   const auto stream = client.Open(endpoint, MakeRequest(), &listener);
   EXPECT_EQ(listener.lost, 0);
   ASSERT_TRUE(RunUntilLost(listener));
   EXPECT_TRUE(listener.is_not_run);
 }
 
-// Symptom: a booking is told as not run, sent again, and made twice.
-// Events: the owner takes the request, and its connection ends.
-// Cause: a lost connection is taken for one that was never made.
+// Guards against running a request twice: the owner accepts it and its
+// connection ends, and the loss was reported as "not run" as if the connection
+// had never been established.
 TEST_F(NodeStreamTest, OwnerLostAfterTheHeadWasSentMayHaveRun) {
-  KeepingListener listener;
+  RecordingListener listener;
   const auto stream = Open(listener, MakeRequest());
   ASSERT_TRUE(RunUntilWorks(1));
   server.Close();
@@ -103,59 +104,57 @@
   EXPECT_FALSE(listener.is_not_run);
 }
 
-// The same before the owner has read a byte: the bytes may be on their way.
+// The same before the owner has read a byte, since the bytes may be in transit.
 TEST_F(NodeStreamTest, PeerThatClosesUnreadMayHaveRun) {
   RawTarget peer(context, [](RawPeer& one) { one.Reset(); });
-  KeepingListener listener;
+  RecordingListener listener;
   const auto stream = client.Open(peer.endpoint(), MakeRequest(), &listener);
   ASSERT_TRUE(RunUntilLost(listener));
   EXPECT_FALSE(listener.is_not_run);
 }
 
-// Symptom: calls hang until their deadlines while an owner is frozen.
-// Events: a peer takes the connection and never says a word.
-// Cause: its kernel goes on acknowledging, so TCP sees no failure.
+// Guards against calls that hang until their deadlines while an owner is
+// suspended: its kernel accepts and acknowledges, so TCP reports no failure.
 TEST_F(NodeStreamTest, SilentPeerIsNoticed) {
   RawTarget peer(context, [](RawPeer& one) { one.received().clear(); });
-  KeepingListener listener;
+  RecordingListener listener;
   const auto stream = client.Open(peer.endpoint(), MakeRequest(), &listener);
   ASSERT_TRUE(RunUntilLost(listener));
   EXPECT_FALSE(listener.is_not_run);
 }
 
-// Symptom: servers get requests seconds after their callers have left.
-// Sequence: the way to an owner is cut and heals; for seconds after that the
-// old connection sends nothing, until its next retransmission; entries go on to
-// send requests on it. Cause: a session that has fallen silent was used for new
-// requests, though a new connection works at once or fails soon.
-TEST_F(NodeStreamTest, ASilentSessionTakesNoNewRequest) {
+// Guards against targets getting requests seconds after their callers have
+// given up: after a network interruption an old connection sends nothing until
+// its next TCP retransmission, and entries kept using such a session for new
+// requests. A new connection works at once or fails soon.
+TEST_F(NodeStreamTest, SilentSessionGetsNoNewRequests) {
   RawTarget peer(context, [](RawPeer& one) { one.received().clear(); });
-  KeepingListener first;
+  RecordingListener first;
   const auto waiting = client.Open(peer.endpoint(), MakeRequest(), &first);
   ASSERT_TRUE(RunUntil(context, [&first] { return first.is_silent; }));
-  KeepingListener second;
+  RecordingListener second;
   const auto later = client.Open(peer.endpoint(), MakeRequest(), &second);
   EXPECT_TRUE(RunUntil(context, [&peer] { return peer.connections() == 2; }));
   EXPECT_EQ(first.lost, 0);
 }
 
-// The same after all its callers have left: what waits in the socket is thrown
-// away with it, and the next request does not find it as good as new.
-TEST_F(NodeStreamTest, ASilentSessionThatNobodyWaitsForIsReset) {
+// The same after all callers have given up: the session is reset, which
+// discards the unsent bytes in its socket, and is not reused.
+TEST_F(NodeStreamTest, SilentSessionWithoutStreamsIsReset) {
   RawTarget peer(context, [](RawPeer& one) { one.received().clear(); });
-  KeepingListener listener;
+  RecordingListener listener;
   const auto stream = client.Open(peer.endpoint(), MakeRequest(), &listener);
   ASSERT_TRUE(RunUntil(context, [&listener] { return listener.is_silent; }));
   stream->Cancel();
   EXPECT_TRUE(RunUntil(context, [&peer] { return peer.peer(0).is_reset(); }));
 }
 
-// Symptom: as above, for what was sent before the silence was noticed.
-// Sequence: a request and its cancellation are held up on the way, and arrive
-// together. Cause: the request was handed on before what came with it was read.
-TEST_F(NodeStreamTest, WhatArrivesWithItsCancellationIsNotHandedOn) {
+// The same for requests sent before the silence was detected: a request and its
+// cancellation were delayed and arrived together, and the request was passed on
+// before the input that arrived with it was processed.
+TEST_F(NodeStreamTest, RequestArrivingWithItsCancellationIsDropped) {
   RawTarget way(context, [](RawPeer&) {});
-  KeepingListener listener;
+  RecordingListener listener;
   WorkRequest request = MakeRequest();
   const auto left = client.Open(way.endpoint(), request, &listener);
   request.work.target = "/b";
@@ -175,17 +174,17 @@
 }
 
 TEST_F(NodeStreamTest, DrainingOwnerRefusesNewStreamsAndEndsTheOthers) {
-  KeepingListener before;
+  RecordingListener before;
   const auto first = Open(before, MakeRequest());
   ASSERT_TRUE(RunUntilWorks(1));
   server.Drain();
-  // On the session that it has, before its GOAWAY is read.
-  KeepingListener after;
+  // Uses the existing session, because the GOAWAY has not been read.
+  RecordingListener after;
   const auto second = Open(after, MakeRequest());
   ASSERT_TRUE(RunUntilLost(after));
   EXPECT_TRUE(after.is_not_run);
-  // On a session of its own.
-  KeepingListener later;
+  // Uses a new session.
+  RecordingListener later;
   const auto third = Open(later, MakeRequest());
   ASSERT_TRUE(RunUntilLost(later));
   EXPECT_TRUE(later.is_not_run);
@@ -198,19 +197,19 @@
   EXPECT_EQ(before.lost, 0);
 }
 
-TEST_F(NodeStreamTest, RequestThatCannotBeReadIsRefusedAsNotRun) {
+TEST_F(NodeStreamTest, InvalidRequestIsRefusedAsNotRun) {
   WorkRequest request = MakeRequest();
   request.work.target.clear();
-  KeepingListener listener;
+  RecordingListener listener;
   const auto stream = Open(listener, request);
   ASSERT_TRUE(RunUntilLost(listener));
   EXPECT_TRUE(listener.is_not_run);
   EXPECT_TRUE(acceptor.works.empty());
 }
 
-TEST_F(NodeStreamTest, RefusalAndFailureAreToldApart) {
-  KeepingListener refused;
-  KeepingListener failed;
+TEST_F(NodeStreamTest, RefusalAndFailureAreDistinguished) {
+  RecordingListener refused;
+  RecordingListener failed;
   const auto first = Open(refused, MakeRequest());
   const auto second = Open(failed, MakeRequest());
   ASSERT_TRUE(RunUntilWorks(2));
@@ -222,8 +221,8 @@
   }));
 }
 
-TEST_F(NodeStreamTest, TheNewestReasonTravels) {
-  KeepingListener listener;
+TEST_F(NodeStreamTest, HighestReasonIsTransmitted) {
+  RecordingListener listener;
   const auto stream = Open(listener, MakeRequest());
   ASSERT_TRUE(RunUntilWorks(1));
   acceptor.works[0]->Refuse(kLastReason, {});
@@ -231,13 +230,13 @@
       RunUntil(context, [&] { return listener.refused == kLastReason; }));
 }
 
-TEST_F(NodeStreamTest, CancelledAttemptIsToldToTheOwnerOnly) {
+TEST_F(NodeStreamTest, CancellationIsReportedToTheOwnerOnly) {
   class Cancelled : public WorkListener {
    public:
     void OnCancelled() override { is_cancelled = true; }
     bool is_cancelled = false;
   } owner;
-  KeepingListener listener;
+  RecordingListener listener;
   const auto stream = Open(listener, MakeRequest());
   ASSERT_TRUE(RunUntilWorks(1));
   acceptor.works[0]->SetListener(&owner);
@@ -247,7 +246,7 @@
 }
 
 TEST_F(NodeStreamTest, StreamsOfOnePairShareASession) {
-  KeepingListener listener;
+  RecordingListener listener;
   std::vector<std::shared_ptr<AttemptStream>> streams;
   streams.reserve(100);
   for (int count = 0; count < 100; ++count) {
@@ -257,7 +256,7 @@
   EXPECT_EQ(client.sessions(), 1U);
 }
 
-// What a field of HTTP/1.1 may hold.
+// Generates values that are valid in an HTTP/1.1 field.
 rc::Gen<std::string> FieldValue() {
   return rc::gen::container<std::string>(
       rc::gen::suchThat(rc::gen::arbitrary<char>(), [](char c) {
@@ -266,7 +265,7 @@
       }));
 }
 
-RC_GTEST_PROP(NodeStreamCodec, RequestComesBackAsItWas, ()) {
+RC_GTEST_PROP(NodeStreamCodec, RequestRoundTrips, ()) {
   WorkRequest request = MakeRequest();
   WorkHead& work = request.work;
   work.entry = NodeId(*rc::gen::arbitrary<std::uint64_t>());
@@ -275,7 +274,7 @@
   work.request_id = RequestId(*FieldValue());
   work.time_left =
       std::chrono::microseconds(*rc::gen::inRange<std::int64_t>(-5, 1 << 30));
-  // Above 0, as contracts have it.
+  // Contracts only allow values above 0.
   work.weight = *rc::gen::inRange(1, 1000) / 7.0;
   work.is_suspect = *rc::gen::arbitrary<bool>();
   work.is_repeatable = *rc::gen::arbitrary<bool>();
@@ -303,7 +302,7 @@
   const char* value;
 };
 
-TEST(NodeStreamCodec, ReplyWithABadFieldIsNotTaken) {
+TEST(NodeStreamCodec, ReplyWithAnInvalidFieldIsRejected) {
   const OwnerReply reply{
       OwnerVerdict::kAnswer, Reason::kNone, {1, 2, 3, {}}, {200, {}, {}}};
   ASSERT_TRUE(DecodeReply(EncodeReply(reply)));
--- a/source/unit_tests/core/transport/relay_test.cc
+++ b/source/unit_tests/core/transport/relay_test.cc
@@ -1,4 +1,5 @@
-// Calls that go through two real nodes, or one, to a scripted target.
+// Tests calls that are relayed through one or two real nodes to a scripted
+// target.
 
 #include <memory>
 #include <string>
@@ -21,7 +22,8 @@
  public:
   // Starts the nodes in front of a target.
   void StartNodes(RawTarget::OnBytes on_bytes) {
-    // A second call starts afresh; the loop goes last, with what is pending.
+    // A second call replaces everything. The event loop is destroyed last,
+    // together with its pending handlers.
     caller = nullptr;
     entry = nullptr;
     owner = nullptr;
@@ -37,7 +39,7 @@
     caller = RawPeer::Connect(context, first().driver.caller_endpoint());
   }
 
-  // The node that the caller talks to.
+  // The node that the caller is connected to.
   TestNode& first() { return entry ? *entry : *owner; }
 
   bool RunUntilReceived(const std::string& text) {
@@ -57,7 +59,7 @@
   std::shared_ptr<RawPeer> caller;
 };
 
-TEST_P(RelayTest, AnswerComesWholeWithItsOutcome) {
+TEST_P(RelayTest, AnswerIsRelayedWithItsOutcome) {
   StartNodes(Always(kHello));
   caller->Send(Get("/a"));
   ASSERT_TRUE(RunUntilReceived("hello"));
@@ -72,7 +74,7 @@
   }));
 }
 
-TEST_P(RelayTest, BodyOfARequestComesWhole) {
+TEST_P(RelayTest, RequestBodyIsRelayed) {
   const std::string body(1 << 20, 'x');
   std::size_t taken = 0;
   StartNodes([&taken, &body](RawPeer& peer) {
@@ -91,7 +93,7 @@
   EXPECT_EQ(taken, body.size());
 }
 
-TEST_P(RelayTest, ChunkedRequestComesWhole) {
+TEST_P(RelayTest, ChunkedRequestIsRelayed) {
   StartNodes([](RawPeer& peer) {
     if (peer.received().ends_with("\r\n0\r\n\r\n")) {
       const bool is_whole = peer.received().find("one") != std::string::npos &&
@@ -107,10 +109,10 @@
   ASSERT_TRUE(RunUntilReceived("hello"));
 }
 
-// Symptom: a caller takes a part of an answer for the whole.
-// Events: the target sends the start of an answer, then its connection ends.
-// Cause: somewhere on the way a broken body is ended like a whole one.
-TEST_P(RelayTest, BrokenAnswerIsVisiblyBroken) {
+// Guards against a caller taking a partial answer for a complete one: the
+// target's connection ends in the middle of an answer, and some stage ends the
+// body as if it were complete.
+TEST_P(RelayTest, InterruptedAnswerIsDetectable) {
   const std::string starts[] = {
       "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nstart",
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nstart\r\n",
@@ -140,7 +142,7 @@
 
 struct Ending {
   const char* name;
-  // Sent by the target before it closes; empty closes without a byte.
+  // What the target sends before it closes; may be empty.
   const char* answer;
   const char* status;
   const char* outcome;
@@ -158,10 +160,9 @@
      "HTTP/1.1 503 Busy\r\nBulrushmount-Shed: 1\r\nContent-Length: 0\r\n\r\n",
      "503", "not-run", "shed"}};
 
-// Symptom: a request that may have run is told as not run, or the other way.
-// Events: the target ends its connection at each point of an exchange.
-// Cause: the reason is taken for what it is not.
-TEST_P(RelayTest, OutcomeOfAFailureIsTruthful) {
+// Guards against a request that may have run being reported as not run, or the
+// reverse, when the target closes its connection during an exchange.
+TEST_P(RelayTest, FailureHasTheCorrectOutcome) {
   for (const Ending& ending : kEndings) {
     SCOPED_TRACE(ending.name);
     StartNodes([&ending](RawPeer& peer) {
@@ -199,7 +200,7 @@
   EXPECT_EQ(target->connections(), 0U);
 }
 
-TEST_P(RelayTest, LoadGoesWithTheAnswer) {
+TEST_P(RelayTest, LoadIsReportedWithTheAnswer) {
   StartNodes(Always(kHello));
   caller->Send(Get("/a"));
   ASSERT_TRUE(RunUntilReceived("hello"));
@@ -213,10 +214,9 @@
   const char* kept;
 };
 
-// Symptom: a connection hangs, or the next answer is read as a body.
-// Events: an answer that has a length but by its nature no body.
-// Cause: the length is believed.
-TEST_P(RelayTest, BodilessAnswersLeaveTheConnectionInOrder) {
+// Guards against a hanging connection, or the next answer being read as a body:
+// the Content-Length of an answer that by definition has no body was used.
+TEST_P(RelayTest, BodilessAnswersKeepTheConnectionUsable) {
   const Bodiless cases[] = {
       {"HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n",
        "Content-Length: 5"},
@@ -236,7 +236,7 @@
     caller->Send(std::string(one.method) +
                  " /first HTTP/1.1\r\nHost: desk\r\n\r\n");
     ASSERT_TRUE(RunUntilReceived("\r\n\r\n"));
-    // Names of fields come in lower case over HTTP/2.
+    // HTTP/2 transmits field names in lower case.
     EXPECT_NE(boost::algorithm::to_lower_copy(caller->received())
                   .find(boost::algorithm::to_lower_copy(std::string(one.kept))),
               std::string::npos);
@@ -247,7 +247,7 @@
   }
 }
 
-TEST_P(RelayTest, HopByHopAndOwnFieldsAreStripped) {
+TEST_P(RelayTest, HopByHopAndReservedFieldsAreStripped) {
   std::string seen;
   StartNodes([&seen](RawPeer& peer) {
     seen = peer.received();
@@ -279,10 +279,9 @@
   EXPECT_EQ(head.idempotency_key, IdempotencyKey("k"));
 }
 
-// Symptom: a target goes on with work that nobody waits for.
-// Events: the caller closes while the target works.
-// Cause: the end of the caller's stream is not noticed, or not passed on.
-TEST_P(RelayTest, CallerWhoLeavesCancelsTheWork) {
+// Guards against a target continuing with a request whose caller has
+// disconnected: the disconnect is not detected or not propagated.
+TEST_P(RelayTest, CallerDisconnectCancelsTheWork) {
   StartNodes([](RawPeer& peer) { peer.received().clear(); });
   caller->Send(Get("/a"));
   ASSERT_TRUE(RunUntil(*loop, [this] { return target->connections() == 1; }));
@@ -292,12 +291,12 @@
   EXPECT_EQ(owner->brain.Count<WorkCancelled>(), 1U);
 }
 
-// Symptom: a caller gets a part of another's answer.
-// Events: pipelined calls on one connection; each is answered with its path.
-// Cause: answers matched by order across exchanges.
+// Guards against a caller getting part of the answer to another call:
+// concurrent pipelined calls, each answered with its path, could be given each
+// other's answers.
 class PipelinedRelayTest : public RelayTest {
  public:
-  // Sends kCalls at once to a target that answers each with its path, and
+  // Sends kCalls calls at once to a target that answers with the path, and
   // checks the order of the answers.
   void RunPipelinedCalls() {
     std::string all;
@@ -331,13 +330,13 @@
 TEST_P(PipelinedRelayTest, CallsGetTheirOwnAnswersInOrder) {
   StartNodes(AnswerWithPath);
   RunPipelinedCalls();
-  // One exchange at a time on a connection to the target, and no more of them
-  // than calls may be in progress.
+  // A connection to the target carries one exchange at a time, so there are at
+  // most as many connections as concurrent calls.
   EXPECT_LE(target->connections(), CallerLimits().max_pipelined);
 }
 
-// The same where calls may not be repeated: each waits for the one before it.
-TEST_P(PipelinedRelayTest, CallsThatMayNotBeRepeatedFollowOneAnother) {
+// The same for non-repeatable calls: each waits for the one before it.
+TEST_P(PipelinedRelayTest, NonRepeatableCallsRunSequentially) {
   StartNodes(AnswerWithPath);
   first().brain.is_repeatable = false;
   RunPipelinedCalls();
--- a/source/unit_tests/core/transport/target_client_test.cc
+++ b/source/unit_tests/core/transport/target_client_test.cc
@@ -1,4 +1,4 @@
-// When a connection to the target is used again, and when it is not.
+// Tests when connections to the target are reused.
 
 #include <memory>
 #include <string>
@@ -12,10 +12,11 @@
 namespace bulrushmount::testing {
 namespace {
 
-constexpr char kWhole[] = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
+constexpr char kComplete[] =
+    "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
 
-// Keeps what is told and reads the answer to its end.
-class KeepingListener : public TargetListener {
+// Records the result of an exchange and reads the answer to its end.
+class RecordingListener : public TargetListener {
  public:
   void OnConnectFailed() override { is_connect_failed = true; }
   void OnFailed() override { is_failed = true; }
@@ -60,15 +61,15 @@
     client.SetEndpoint(target->endpoint());
   }
 
-  std::shared_ptr<TargetExchange> Send(KeepingListener& listener) {
+  std::shared_ptr<TargetExchange> Send(RecordingListener& listener) {
     return client.Send({"GET", "/", {{"Host", "desk"}}, {}},
                        RequestId("request-1"),
                        std::make_shared<StringSource>(""), &listener);
   }
 
   // Sends one request and waits for its end.
-  KeepingListener Call() {
-    KeepingListener listener;
+  RecordingListener Call() {
+    RecordingListener listener;
     const auto exchange = Send(listener);
     EXPECT_TRUE(RunUntil(context, [&] { return listener.is_done(); }));
     exchange->Cancel();
@@ -80,8 +81,8 @@
   TargetClient client{context.get_executor()};
 };
 
-TEST_F(TargetClientTest, WholeExchangeLeavesItsConnectionForTheNext) {
-  StartTarget(Always(kWhole));
+TEST_F(TargetClientTest, CompleteExchangeReturnsItsConnection) {
+  StartTarget(Always(kComplete));
   for (int call = 0; call < 5; ++call) {
     EXPECT_EQ(Call().body, "hello");
     EXPECT_EQ(client.idle_connections(), 1U);
@@ -89,8 +90,8 @@
   EXPECT_EQ(target->connections(), 1U);
 }
 
-// Symptom: under overload each refusal costs the next request a connection.
-TEST_F(TargetClientTest, ShedWithoutBodyLeavesItsConnectionForTheNext) {
+// Guards against every shed request costing a new connection under overload.
+TEST_F(TargetClientTest, ShedWithoutBodyReturnsItsConnection) {
   StartTarget(
       Always("HTTP/1.1 503 Busy\r\nBulrushmount-Shed: 1\r\n"
              "Content-Length: 0\r\n\r\n"));
@@ -108,14 +109,13 @@
 class UncleanTest : public TargetClientTest,
                     public ::testing::WithParamInterface<Unclean> {};
 
-// Symptom: a caller gets a part of another's answer.
-// Events: an exchange does not end cleanly, and the next one uses its
-// connection, on which bytes of the first are still to come.
-// Cause: the connection was taken for idle.
-TEST_P(UncleanTest, ConnectionIsNotUsedAgain) {
+// Guards against a caller getting part of another call's answer: an exchange
+// does not end cleanly, and the next one uses its connection, on which bytes of
+// the first are still arriving.
+TEST_P(UncleanTest, ConnectionIsNotReused) {
   StartTarget(Always(GetParam().answer));
   for (std::size_t call = 1; call <= 3; ++call) {
-    const KeepingListener got = Call();
+    const RecordingListener got = Call();
     EXPECT_EQ(got.is_whole, GetParam().is_whole);
     EXPECT_EQ(target->connections(), call);
     EXPECT_EQ(client.idle_connections(), 0U);
@@ -147,7 +147,7 @@
 
 TEST_F(TargetClientTest, CancelledExchangeClosesItsConnection) {
   StartTarget([](RawPeer&) {});
-  KeepingListener listener;
+  RecordingListener listener;
   const auto exchange = Send(listener);
   ASSERT_TRUE(RunUntil(context, [this] { return target->connections() == 1; }));
   exchange->Cancel();
@@ -156,11 +156,10 @@
   EXPECT_FALSE(listener.is_done());
 }
 
-// Symptom: a request ends as unknown although the target is well.
-// Events: the target closes an idle connection; the next request goes out on
-// it. Cause: the pool hands out a connection whose end has come already.
-TEST_F(TargetClientTest, IdleConnectionThatEndedIsNotUsed) {
-  StartTarget(Always(kWhole));
+// Guards against an unknown outcome with a healthy target: the target closed an
+// idle connection, and the pool used it for the next request.
+TEST_F(TargetClientTest, ClosedIdleConnectionIsNotUsed) {
+  StartTarget(Always(kComplete));
   Call();
   target->peer(0).Close();
   context.restart();
@@ -169,11 +168,10 @@
   EXPECT_EQ(target->connections(), 2U);
 }
 
-// Symptom: a caller gets an answer that nobody asked for.
-// Events: bytes come on an idle connection, and then the next request goes out.
-// Cause: the late bytes are read as that request's answer.
+// Guards against a caller getting an unrelated answer: bytes that arrived on an
+// idle connection were read as the answer to the next request.
 TEST_F(TargetClientTest, IdleConnectionWithLateBytesIsNotUsed) {
-  StartTarget(Always(kWhole));
+  StartTarget(Always(kComplete));
   Call();
   bool is_sent = false;
   target->peer(0).Send("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
@@ -183,28 +181,28 @@
   EXPECT_EQ(target->connections(), 2U);
 }
 
-TEST_F(TargetClientTest, NewEndpointLeavesTheOldConnections) {
-  StartTarget(Always(kWhole));
+TEST_F(TargetClientTest, NewEndpointDropsOldConnections) {
+  StartTarget(Always(kComplete));
   Call();
-  RawTarget other(context, Always(kWhole));
+  RawTarget other(context, Always(kComplete));
   client.SetEndpoint(other.endpoint());
   EXPECT_TRUE(Call().is_whole);
   EXPECT_EQ(other.connections(), 1U);
 }
 
-// Symptom: a request that may have run is sent again, or told as not run.
-// Events: the target takes the request and closes without a byte.
-// Cause: a fresh connection's failure and a used one's are told alike.
+// Guards against a request that may have run being sent again or reported as
+// not run: the target accepts the request and closes without sending a byte,
+// and this was treated like a failure to connect.
 TEST_F(TargetClientTest, EndAfterTheRequestIsAFailureAndIsNotRetried) {
   StartTarget([](RawPeer& peer) { peer.Close(); });
-  const KeepingListener got = Call();
+  const RecordingListener got = Call();
   EXPECT_TRUE(got.is_failed);
   EXPECT_FALSE(got.is_connect_failed);
   EXPECT_EQ(target->connections(), 1U);
 }
 
-TEST_F(TargetClientTest, RefusedConnectionIsTold) {
-  StartTarget(Always(kWhole));
+TEST_F(TargetClientTest, RefusedConnectionIsReported) {
+  StartTarget(Always(kComplete));
   target->Close();
   EXPECT_TRUE(Call().is_connect_failed);
 }
--- a/source/unit_tests/core/transport/transport_test_support.cc
+++ b/source/unit_tests/core/transport/transport_test_support.cc
@@ -233,7 +233,7 @@
   return {};
 }
 
-void NoTable::Submit(TableRequest, Callback callback) {
+void UnavailableTable::Submit(TableRequest, Callback callback) {
   asio::post(m_context, [callback = std::move(callback)] {
     callback(Now(), {TableStatus::kUnavailable, {}});
   });
--- a/source/unit_tests/core/transport/transport_test_support.h
+++ b/source/unit_tests/core/transport/transport_test_support.h
@@ -1,5 +1,6 @@
-// What the transport's tests share: raw peers on loopback, a scripted stand-in
-// for the decision logic, and nodes joined by real sockets on one event loop.
+// Helpers for the transport tests: raw TCP peers on loopback, a scripted
+// replacement for the decision logic, and nodes connected by real sockets on
+// one event loop.
 
 #ifndef BULRUSHMOUNT_UNIT_TESTS_CORE_TRANSPORT_TRANSPORT_TEST_SUPPORT_H_
 #define BULRUSHMOUNT_UNIT_TESTS_CORE_TRANSPORT_TRANSPORT_TEST_SUPPORT_H_
@@ -31,7 +32,7 @@
               const std::function<bool()>& condition,
               std::chrono::milliseconds limit = kLimit);
 
-// A TCP peer that sends what it is told and keeps what it gets.
+// A TCP peer that sends given bytes and records the received ones.
 class RawPeer : public std::enable_shared_from_this<RawPeer> {
  public:
   explicit RawPeer(boost::asio::ip::tcp::socket socket)
@@ -40,20 +41,20 @@
                                           const Endpoint& endpoint);
 
   void Send(std::string bytes);
-  // Called after each read that brought bytes.
+  // `on_bytes` is called after each read that returned bytes.
   void SetOnBytes(std::function<void(RawPeer& peer)> on_bytes) {
     m_on_bytes = std::move(on_bytes);
   }
-  // Starts to read, or goes on after Pause.
+  // Starts reading, or resumes after Pause.
   void Read();
-  // Bytes stay in the socket from now on.
+  // Stops reading; further bytes stay in the socket.
   void Pause() { m_is_paused = true; }
   void Close();
   void Reset();
-  // Ends its side once all is sent.
+  // Closes the connection once all bytes are sent.
   void CloseAfterSend();
 
-  // Writes that the socket has not yet taken.
+  // The number of incomplete writes.
   std::size_t sends() const { return m_sends; }
   std::string& received() { return m_received; }
   bool is_at_end() const { return m_is_at_end; }
@@ -72,8 +73,8 @@
   bool m_is_reset = false;
 };
 
-// A target whose connections are scripted: `on_bytes` is called after each read
-// with the peer, whose `received()` it may take.
+// A target with scripted connections: `on_bytes` is called with the peer after
+// each read and may consume its `received()`.
 class RawTarget {
  public:
   using OnBytes = std::function<void(RawPeer& peer)>;
@@ -92,11 +93,11 @@
   std::vector<std::shared_ptr<RawPeer>> m_peers;
 };
 
-// Answers every request whose head is whole (and whose body of Content-Length
-// is whole) with `answer`.
+// Answers every complete request (head, and body of Content-Length bytes) with
+// `answer`.
 RawTarget::OnBytes Always(std::string answer);
 
-// Relays every call to one owner and takes every work. It keeps the events.
+// Sends every call to one owner, accepts every work, and records the events.
 class RelayBrain : public NodeLogicInterface {
  public:
   std::vector<NodeAction> Handle(TimePoint now, NodeEvent event) override;
@@ -123,14 +124,14 @@
     return last;
   }
 
-  // Where calls go.
+  // The owner of all calls.
   NodeId owner;
   Endpoint owner_endpoint;
-  // With a reason, works are refused.
+  // Unless kNone, works are refused with this reason.
   Reason refuse_with = Reason::kNone;
-  // Calls may be handed in ahead of their turn.
+  // Whether calls are repeatable, so that they may run ahead of their turn.
   bool is_repeatable = true;
-  // Works are left waiting.
+  // Whether works are left unanswered.
   bool holds_works = false;
   std::vector<NodeEvent> events;
 
@@ -144,9 +145,10 @@
 };
 
 // Replies to everything with kUnavailable.
-class NoTable : public TableService {
+class UnavailableTable : public TableService {
  public:
-  explicit NoTable(boost::asio::io_context& context) : m_context(context) {}
+  explicit UnavailableTable(boost::asio::io_context& context)
+      : m_context(context) {}
   void Submit(TableRequest request, Callback callback) override;
 
  private:
@@ -156,20 +158,20 @@
 struct TestNode {
   TestNode(boost::asio::io_context& context, std::uint64_t id);
 
-  // Sends its calls to `owner`'s target.
+  // Directs this node's calls to `owner`.
   void SendTo(const TestNode& owner);
   void Announce(const Endpoint& target);
 
   SeededRandomSource random;
   RelayBrain brain;
-  NoTable table;
+  UnavailableTable table;
   DriverSettings settings;
   NodeDriver driver;
 };
 
 DriverSettings LoopbackSettings(std::uint64_t id);
 
-// A GET that keeps the connection.
+// The text of a GET request on a persistent connection.
 std::string Get(std::string_view target);
 
 }  // namespace bulrushmount::testing
