--- a/source/bulrushmountd/main.cc
+++ b/source/bulrushmountd/main.cc
@@ -4,6 +4,6 @@
 #include "core/transport/daemon_main.h"
 
 int main(int argc, char** argv) {
-  bulrushmount::OwnProtocols protocols;
+  bulrushmount::NativeProtocols protocols;
   return bulrushmount::DaemonMain(argc, argv, protocols);
 }
--- a/source/core/transport/daemon_protocols.cc
+++ b/source/core/transport/daemon_protocols.cc
@@ -6,7 +6,7 @@
 
 namespace bulrushmount {
 
-std::unique_ptr<TableService> OwnProtocols::MakeTable(
+std::unique_ptr<TableService> NativeProtocols::MakeTable(
     boost::asio::io_context& context) {
   HttpClientSettings table;
   table.server = m_settings.platform.table;
--- a/source/core/transport/daemon_protocols.h
+++ b/source/core/transport/daemon_protocols.h
@@ -51,7 +51,7 @@
 };
 
 // The project's own protocols; see docs/PROTOCOLS.md.
-class OwnProtocols : public DaemonProtocols {
+class NativeProtocols : public DaemonProtocols {
  public:
   void Prepare(DaemonSettings& settings) override { m_settings = settings; }
   std::unique_ptr<TableService> MakeTable(
