--- a/source/soak/verdicts.cc
+++ b/source/soak/verdicts.cc
@@ -30,7 +30,7 @@
     case ClientVerdict::kWrong:
       report("an answer that is not the server's own");
       break;
-    case ClientVerdict::kNothing:
+    case ClientVerdict::kNoAnswer:
       report("no answer");
       break;
     case ClientVerdict::kRefused:
--- a/source/soak/verdicts_test.cc
+++ b/source/soak/verdicts_test.cc
@@ -87,7 +87,7 @@
             WithRuns({CallOf("a", "/safe/", ClientVerdict::kServed)}, {}), 1},
         VerdictCase{
             "Nothing",
-            WithRuns({CallOf("a", "/safe/", ClientVerdict::kNothing)}, {}), 1},
+            WithRuns({CallOf("a", "/safe/", ClientVerdict::kNoAnswer)}, {}), 1},
         VerdictCase{
             "Wrong",
             WithRuns({CallOf("a", "/safe/", ClientVerdict::kWrong)}, {"a"}), 1},
