--- a/source/bulrushmountctl/ctl_commands.cc
+++ b/source/bulrushmountctl/ctl_commands.cc
@@ -1,4 +1,6 @@
-// Part of `ctl_commands.h`.
+// Runs the commands. Except for `contract check` and `logs summary`, which read
+// local files, each command is one or a few HTTP exchanges with a node's
+// operator address.
 
 #include "bulrushmountctl/ctl_commands.h"
 
@@ -26,9 +28,10 @@
 
 namespace json = boost::json;
 
-constexpr int kOkStatus = 200;
-constexpr int kNotFoundStatus = 404;
-constexpr Duration kWaitStep = std::chrono::milliseconds(200);
+constexpr int kHttpOk = 200;
+constexpr int kHttpNotFound = 404;
+// Interval at which `--wait` polls /status.
+constexpr Duration kWaitPollInterval = std::chrono::milliseconds(200);
 
 std::optional<std::string> ReadFile(const std::string& name) {
   std::ifstream file(name, std::ios::binary);
@@ -44,20 +47,21 @@
   return text;
 }
 
-CtlExit ExitOf(int status) {
+CtlExitCode ExitCodeFromStatus(int status) {
   if (status >= 200 && status < 300)
-    return CtlExit::kDone;
+    return CtlExitCode::kDone;
   if (status == 400)
-    return CtlExit::kUsage;
-  return status == 504 ? CtlExit::kUnknown : CtlExit::kRefused;
+    return CtlExitCode::kUsage;
+  return status == 504 ? CtlExitCode::kUnknown : CtlExitCode::kRefused;
 }
 
-// Null for a body that is no JSON object, or has no such member.
+// Returns null if `body` is not a JSON object or has no member `key`.
 const json::value* FindMember(const json::value& body, std::string_view key) {
   return body.is_object() ? body.as_object().if_contains(key) : nullptr;
 }
 
-std::uint64_t NumberOf(const json::value* value) {
+// Returns 0 if `value` is null or not an unsigned 64-bit number.
+std::uint64_t NumberOrZero(const json::value* value) {
   if (value == nullptr || !value->is_number())
     return 0;
   json::error_code error;
@@ -65,12 +69,14 @@
   return error ? 0 : number;
 }
 
+// Returns a JSON null if `text` is not valid JSON.
 json::value ParseJson(const std::string& text) {
   json::error_code error;
   json::value value = json::parse(text, error);
   return error ? json::value() : value;
 }
 
+// Reads the list of zone names in member `key` of a /status body.
 std::vector<AvailabilityZone> ZonesOf(const json::value& status,
                                       std::string_view key) {
   std::vector<AvailabilityZone> zones;
@@ -84,35 +90,37 @@
   return zones;
 }
 
-// Whether no live member is behind `revision`.
+// Whether the answering node and every member that is neither dead nor left
+// report at least the configuration `revision`.
 bool IsInForce(const json::value& status, std::uint64_t revision) {
   const json::value* const members = FindMember(status, "members");
   if (members == nullptr || !members->is_array() ||
-      NumberOf(FindMember(status, "revision")) < revision)
+      NumberOrZero(FindMember(status, "revision")) < revision)
     return false;
   for (const json::value& member : members->as_array()) {
     const json::value* const state = FindMember(member, "state");
-    const bool is_gone =
+    const bool has_left =
         state != nullptr && state->is_string() &&
         (state->as_string() == "left" || state->as_string() == "dead");
-    if (!is_gone && NumberOf(FindMember(member, "revision")) < revision)
+    if (!has_left && NumberOrZero(FindMember(member, "revision")) < revision)
       return false;
   }
   return true;
 }
 
-class Ctl {
+// Runs one parsed command and prints its result.
+class CtlCommandRunner {
  public:
-  Ctl(const CtlOptions& options,
-      std::string token,
-      std::ostream& out,
-      std::ostream& error)
+  CtlCommandRunner(const CtlOptions& options,
+                   std::string token,
+                   std::ostream& out,
+                   std::ostream& error)
       : m_options(options),
         m_client(options.node, std::move(token), options.timeout),
         m_out(out),
         m_error(error) {}
 
-  CtlExit Run() {
+  CtlExitCode Run() {
     switch (m_options.command) {
       case CtlCommand::kContractWrite:
         return Write();
@@ -135,15 +143,16 @@
       case CtlCommand::kEvacuationList:
         return ListEvacuations();
       case CtlCommand::kEvacuationBegin:
-        return ChangeZone(EvacuationVerb::kBegin);
+        return ChangeZone(EvacuationAction::kBegin);
       case CtlCommand::kEvacuationEnd:
-        return ChangeZone(EvacuationVerb::kEnd);
+        return ChangeZone(EvacuationAction::kEnd);
     }
-    return CtlExit::kUsage;
+    return CtlExitCode::kUsage;
   }
 
  private:
-  // The file's text and contract; prints all faults if there is none.
+  // Returns the text of the contract file and the parsed contract. Prints
+  // every fault and returns nothing if the file is invalid.
   std::optional<std::pair<std::string, Contract>> ReadContract() {
     const std::optional<std::string> text = ReadFile(m_options.argument);
     if (!text.has_value()) {
@@ -161,128 +170,130 @@
     return std::pair(*text, std::move(*parsed.contract));
   }
 
-  CtlExit Check() {
+  CtlExitCode Check() {
     const auto contract = ReadContract();
     if (!contract.has_value())
-      return CtlExit::kUsage;
+      return CtlExitCode::kUsage;
     m_out << fmt::format("{}: no faults, workspace {}\n", m_options.argument,
                          contract->second.workspace);
-    return CtlExit::kDone;
+    return CtlExitCode::kDone;
   }
 
-  CtlExit Write() {
+  CtlExitCode Write() {
     const auto contract = ReadContract();
     if (!contract.has_value())
-      return CtlExit::kUsage;
+      return CtlExitCode::kUsage;
     return Change({"PUT", "/contracts/" + contract->second.workspace.value(),
                    contract->first, m_options.if_version});
   }
 
-  CtlExit Show() {
+  CtlExitCode Show() {
     const std::optional<OperatorReply> reply =
         Exchange({"GET", "/contracts/" + m_options.argument, "", kNoRow});
     if (!reply.has_value())
-      return CtlExit::kUnknown;
+      return CtlExitCode::kUnknown;
     if (reply->status == 200)
       m_out << fmt::format("# version: {}\n", reply->version);
     return Report(*reply);
   }
 
-  CtlExit ListEvacuations() {
+  CtlExitCode ListEvacuations() {
     const std::optional<OperatorReply> reply =
         Exchange({"GET", "/status", "", kNoRow});
     if (!reply.has_value())
-      return CtlExit::kUnknown;
-    if (reply->status != kOkStatus)
+      return CtlExitCode::kUnknown;
+    if (reply->status != kHttpOk)
       return Report(*reply);
     for (const AvailabilityZone& zone :
          ZonesOf(ParseJson(reply->body), "evacuated_zones"))
       m_out << zone.value() << "\n";
-    return CtlExit::kDone;
+    return CtlExitCode::kDone;
   }
 
-  // Reads the contract and writes it under its version: of two operators at
-  // once one is refused with the current version.
-  CtlExit ChangeZone(EvacuationVerb verb) {
+  // Reads the evacuation contract, changes it and writes it back on condition
+  // that its version is unchanged. If two operators change it concurrently,
+  // the node refuses one of them and returns the current version.
+  CtlExitCode ChangeZone(EvacuationAction action) {
     const std::string path = std::string("/contracts/") + kEvacuationWorkspace;
     const auto status = Exchange({"GET", "/status", "", kNoRow});
     const auto current = Exchange({"GET", path, "", kNoRow});
     if (!status.has_value() || !current.has_value())
-      return CtlExit::kUnknown;
-    const bool is_there = current->status == kOkStatus;
-    if (!is_there && current->status != kNotFoundStatus)
+      return CtlExitCode::kUnknown;
+    const bool contract_exists = current->status == kHttpOk;
+    if (!contract_exists && current->status != kHttpNotFound)
       return Report(*current);
     const auto changed =
-        ChangeEvacuation(verb, AvailabilityZone(m_options.argument),
-                         is_there ? current->body : "",
+        ChangeEvacuation(action, AvailabilityZone(m_options.argument),
+                         contract_exists ? current->body : "",
                          ZonesOf(ParseJson(status->body), "known_zones"));
-    if (const auto* const fault = std::get_if<EvacuationFault>(&changed)) {
+    if (const auto* const fault = std::get_if<EvacuationError>(&changed)) {
       m_error << fault->message << "\n";
-      return CtlExit::kRefused;
+      return CtlExitCode::kRefused;
     }
     const auto& yaml = std::get<std::string>(changed);
-    const RowVersion version = is_there ? current->version : kNoRow;
+    const RowVersion version = contract_exists ? current->version : kNoRow;
     return Change({yaml.empty() ? "DELETE" : "PUT", path, yaml, version});
   }
 
-  CtlExit Print(const OperatorRequest& request) {
+  CtlExitCode Print(const OperatorRequest& request) {
     const std::optional<OperatorReply> reply = Exchange(request);
-    return reply.has_value() ? Report(*reply) : CtlExit::kUnknown;
+    return reply.has_value() ? Report(*reply) : CtlExitCode::kUnknown;
   }
 
-  CtlExit Change(const OperatorRequest& request) {
+  CtlExitCode Change(const OperatorRequest& request) {
     const auto sent = m_client.Send(request);
     if (const auto* const failure = std::get_if<OperatorError>(&sent)) {
       m_error << (failure->is_sent
-                      ? "unknown whether it was written (read back with "
-                        "show): "
+                      ? "unknown whether the change was written (read back "
+                        "with contract show): "
                       : "node unreachable, nothing was written: ")
               << failure->message << "\n";
-      return CtlExit::kUnknown;
+      return CtlExitCode::kUnknown;
     }
     const auto& reply = std::get<OperatorReply>(sent);
-    const CtlExit exit = Report(reply);
-    if (exit != CtlExit::kDone || !m_options.is_waiting)
+    const CtlExitCode exit = Report(reply);
+    if (exit != CtlExitCode::kDone || !m_options.wait_until_in_force)
       return exit;
-    return Wait(NumberOf(FindMember(ParseJson(reply.body), "revision")));
+    return Wait(NumberOrZero(FindMember(ParseJson(reply.body), "revision")));
   }
 
-  CtlExit Wait(std::uint64_t revision) {
+  // Polls the node until every live member has `revision` in force.
+  CtlExitCode Wait(std::uint64_t revision) {
     const TimePoint limit = Now() + m_options.wait_limit;
     while (revision > 0) {
       const auto sent = m_client.Send({"GET", "/status", "", kNoRow});
       const auto* const reply = std::get_if<OperatorReply>(&sent);
       if (reply != nullptr && IsInForce(ParseJson(reply->body), revision))
-        return CtlExit::kDone;
-      if (Now() + kWaitStep >= limit)
+        return CtlExitCode::kDone;
+      if (Now() + kWaitPollInterval >= limit)
         break;
-      std::this_thread::sleep_for(kWaitStep);
+      std::this_thread::sleep_for(kWaitPollInterval);
     }
     m_error << fmt::format(
         "accepted, but not seen in force on every live member within {}\n",
         FormatDuration(m_options.wait_limit));
-    return CtlExit::kUnknown;
+    return CtlExitCode::kUnknown;
   }
 
-  CtlExit SummarizeLogs() {
+  CtlExitCode SummarizeLogs() {
     if (m_options.argument == "-")
       return SummarizeLogs(std::cin);
     std::ifstream file(m_options.argument, std::ios::binary);
     if (!file) {
       m_error << "cannot read " << m_options.argument << "\n";
-      return CtlExit::kUsage;
+      return CtlExitCode::kUsage;
     }
     return SummarizeLogs(file);
   }
 
-  CtlExit SummarizeLogs(std::istream& lines) {
+  CtlExitCode SummarizeLogs(std::istream& lines) {
     LogDigest digest;
     std::string line;
     while (std::getline(lines, line))
       digest.AddLine(line);
     digest.Finish();
     m_out << digest.Text();
-    return CtlExit::kDone;
+    return CtlExitCode::kDone;
   }
 
   std::optional<OperatorReply> Exchange(const OperatorRequest& request) {
@@ -294,16 +305,17 @@
     return std::get<OperatorReply>(std::move(sent));
   }
 
-  CtlExit Report(const OperatorReply& reply) {
-    const CtlExit exit = ExitOf(reply.status);
-    if (exit == CtlExit::kDone)
+  // Prints the body of a successful reply, or the error of a refusal.
+  CtlExitCode Report(const OperatorReply& reply) {
+    const CtlExitCode exit = ExitCodeFromStatus(reply.status);
+    if (exit == CtlExitCode::kDone)
       m_out << TrimEnd(reply.body) << "\n";
     else
-      PrintRefusal(reply);
+      PrintError(reply);
     return exit;
   }
 
-  void PrintRefusal(const OperatorReply& reply) {
+  void PrintError(const OperatorReply& reply) {
     const json::value body = ParseJson(reply.body);
     const json::value* const text = FindMember(body, "error");
     m_error << reply.status << ": "
@@ -319,8 +331,8 @@
     for (const json::value& fault : faults->as_array()) {
       const json::value* const message = FindMember(fault, "message");
       m_error << fmt::format("line {}, column {}: {}\n",
-                             NumberOf(FindMember(fault, "line")),
-                             NumberOf(FindMember(fault, "column")),
+                             NumberOrZero(FindMember(fault, "line")),
+                             NumberOrZero(FindMember(fault, "column")),
                              message != nullptr && message->is_string()
                                  ? std::string(message->as_string())
                                  : "");
@@ -335,17 +347,17 @@
 
 }  // namespace
 
-CtlExit RunCtl(const std::vector<std::string>& arguments,
-               std::ostream& out,
-               std::ostream& error) {
+CtlExitCode RunCtl(const std::vector<std::string>& arguments,
+                   std::ostream& out,
+                   std::ostream& error) {
   const auto parsed = ParseCtlOptions(arguments);
-  if (const auto* const text = std::get_if<CtlText>(&parsed)) {
+  if (const auto* const text = std::get_if<CtlInfoText>(&parsed)) {
     out << text->text;
-    return CtlExit::kDone;
+    return CtlExitCode::kDone;
   }
   if (const auto* const fault = std::get_if<CtlUsageError>(&parsed)) {
     error << fault->message << "\n";
-    return CtlExit::kUsage;
+    return CtlExitCode::kUsage;
   }
   const auto& options = std::get<CtlOptions>(parsed);
   std::string token;
@@ -353,11 +365,11 @@
     std::optional<std::string> text = ReadFile(options.token_file);
     if (!text.has_value()) {
       error << "cannot read " << options.token_file << "\n";
-      return CtlExit::kUsage;
+      return CtlExitCode::kUsage;
     }
     token = TrimEnd(std::move(*text));
   }
-  return Ctl(options, std::move(token), out, error).Run();
+  return CtlCommandRunner(options, std::move(token), out, error).Run();
 }
 
 }  // namespace bulrushmount
--- a/source/bulrushmountctl/ctl_commands.h
+++ b/source/bulrushmountctl/ctl_commands.h
@@ -1,4 +1,5 @@
-// What `bulrushmountctl` does, as a function of its command line.
+// Entry point of the command line tool `bulrushmountctl`. Results and errors
+// are written to the given streams, so that tests can run it in process.
 
 #ifndef BULRUSHMOUNT_BULRUSHMOUNTCTL_CTL_COMMANDS_H_
 #define BULRUSHMOUNT_BULRUSHMOUNTCTL_CTL_COMMANDS_H_
@@ -9,21 +10,23 @@
 
 namespace bulrushmount {
 
-enum class CtlExit : int {
+// Exit status of the process.
+enum class CtlExitCode : int {
   kDone = 0,
-  // The node refused, or another operator was faster.
+  // The node refused the request, for example because another operator changed
+  // the contract first.
   kRefused = 1,
-  // Wrong usage, or faults in the contract's file.
+  // Invalid arguments, or faults in the contract file.
   kUsage = 2,
-  // The node cannot be reached, or nobody can tell yet what came of it.
+  // The node cannot be reached, or the outcome of the request is unknown.
   kUnknown = 3,
 };
 
-// `arguments` without the program's name. Results go to `out`, everything else
-// to `error`.
-CtlExit RunCtl(const std::vector<std::string>& arguments,
-               std::ostream& out,
-               std::ostream& error);
+// Runs the command given by `arguments`, which exclude the program name.
+// Results are written to `out`, errors to `error`.
+CtlExitCode RunCtl(const std::vector<std::string>& arguments,
+                   std::ostream& out,
+                   std::ostream& error);
 
 }  // namespace bulrushmount
 
--- a/source/bulrushmountctl/ctl_options.cc
+++ b/source/bulrushmountctl/ctl_options.cc
@@ -1,4 +1,4 @@
-// Part of `ctl_options.h`.
+// Maps command words and options to `CtlOptions`.
 
 #include "bulrushmountctl/ctl_options.h"
 
@@ -15,18 +15,20 @@
 
 namespace {
 
-using ParseResult = std::variant<CtlOptions, CtlText, CtlUsageError>;
+using ParseResult = std::variant<CtlOptions, CtlInfoText, CtlUsageError>;
 
 enum class Argument : std::uint8_t { kNone, kFile, kName };
 
-struct CommandForm {
+// Syntax of one command: its one or two words and its argument.
+struct CommandSyntax {
   std::string_view first;
+  // Empty for a command of one word.
   std::string_view second;
   CtlCommand command;
   Argument argument;
 };
 
-constexpr std::array<CommandForm, 11> kForms{{
+constexpr std::array<CommandSyntax, 11> kCommands{{
     {"contract", "write", CtlCommand::kContractWrite, Argument::kFile},
     {"contract", "show", CtlCommand::kContractShow, Argument::kName},
     {"contract", "list", CtlCommand::kContractList, Argument::kNone},
@@ -46,15 +48,15 @@
   contract show NAME
   contract list
   contract withdraw NAME --if-version N [--wait]
-  contract check FILE.yaml          (asks no node)
+  contract check FILE.yaml          (needs no node)
   evacuation list
-  evacuation begin ZONE [--wait]    (nothing new is sent to the zone's targets)
+  evacuation begin ZONE [--wait]    (stops new calls to the zone's targets)
   evacuation end ZONE [--wait]
   status
   report burn [--format text|json|svg]
-  logs summary FILE                 (asks no node; - is standard input)
+  logs summary FILE                 (needs no node; - is standard input)
 
-Exit codes: 0 done, 1 refused, 2 wrong usage or faults in the file,
+Exit codes: 0 done, 1 refused, 2 invalid usage or faults in the file,
 3 node unreachable or outcome unknown
 )";
 
@@ -66,56 +68,59 @@
        cxxopts::value<std::string>())  //
       ("token-file", "File with the operator token",
        cxxopts::value<std::string>())  //
-      ("if-version", "Version that is to be changed",
-       cxxopts::value<std::uint64_t>())                          //
-      ("wait", "Return once every live member has it in force")  //
-      ("wait-limit", "Longest wait, such as 30s",
+      ("if-version", "Change the contract only at this version",
+       cxxopts::value<std::uint64_t>())                                    //
+      ("wait", "Return once the change is in force on every live member")  //
+      ("wait-limit", "Time limit of --wait, such as 30s",
        cxxopts::value<std::string>())  //
-      ("timeout", "Longest time for one reply, such as 10s",
-       cxxopts::value<std::string>())                                 //
-      ("format", "text, json or svg", cxxopts::value<std::string>())  //
-      ("h,help", "Print this help")                                   //
-      ("version", "Print the version")                                //
+      ("timeout", "Time limit of one reply, such as 10s",
+       cxxopts::value<std::string>())  //
+      ("format", "Report format: text, json or svg",
+       cxxopts::value<std::string>())   //
+      ("h,help", "Print this help")     //
+      ("version", "Print the version")  //
       ("words", "Command", cxxopts::value<std::vector<std::string>>());
   options.parse_positional({"words"});
   options.positional_help("COMMAND");
   return options;
 }
 
-std::vector<std::string> WordsOf(const cxxopts::ParseResult& parsed) {
+std::vector<std::string> PositionalArguments(
+    const cxxopts::ParseResult& parsed) {
   if (parsed.count("words") == 0)
     return {};
   return parsed["words"].as<std::vector<std::string>>();
 }
 
-const CommandForm* FindForm(const std::vector<std::string>& words) {
-  for (const CommandForm& form : kForms) {
-    const std::size_t length = form.second.empty() ? 1 : 2;
-    if (words.size() >= length && words[0] == form.first &&
-        (length == 1 || words[1] == form.second))
-      return &form;
+const CommandSyntax* FindCommand(const std::vector<std::string>& words) {
+  for (const CommandSyntax& syntax : kCommands) {
+    const std::size_t length = syntax.second.empty() ? 1 : 2;
+    if (words.size() >= length && words[0] == syntax.first &&
+        (length == 1 || words[1] == syntax.second))
+      return &syntax;
   }
   return nullptr;
 }
 
-// Empty on success.
+// Returns the error message, empty on success.
 std::string ReadCommand(const std::vector<std::string>& words,
                         CtlOptions& options) {
-  const CommandForm* const form = FindForm(words);
-  if (form == nullptr)
+  const CommandSyntax* const syntax = FindCommand(words);
+  if (syntax == nullptr)
     return "unknown command; see --help";
-  options.command = form->command;
-  const std::size_t fixed = form->second.empty() ? 1 : 2;
+  options.command = syntax->command;
+  const std::size_t word_count = syntax->second.empty() ? 1 : 2;
   const std::size_t expected =
-      fixed + (form->argument == Argument::kNone ? 0 : 1);
+      word_count + (syntax->argument == Argument::kNone ? 0 : 1);
   if (words.size() != expected)
-    return form->argument == Argument::kNone ? "too many words; see --help"
-                                             : "expected one FILE or NAME";
-  if (form->argument == Argument::kNone)
+    return syntax->argument == Argument::kNone
+               ? "too many arguments; see --help"
+               : "expected one FILE, NAME or ZONE; see --help";
+  if (syntax->argument == Argument::kNone)
     return "";
   options.argument = words.back();
-  if (form->argument == Argument::kName && !IsValidName(options.argument))
-    return "NAME is 1 to 64 letters, digits, '.', '_' or '-'";
+  if (syntax->argument == Argument::kName && !IsValidName(options.argument))
+    return "NAME must be 1 to 64 letters, digits, '.', '_' or '-'";
   return "";
 }
 
@@ -124,55 +129,56 @@
       options.command == CtlCommand::kLogsSummary)
     return "";
   if (parsed.count("node") == 0)
-    return "--node IP:PORT is needed";
+    return "--node IP:PORT is required";
   const std::optional<Endpoint> node =
       ParseEndpoint(parsed["node"].as<std::string>());
   if (!node.has_value())
-    return "--node is not IP:PORT";
+    return "--node must be IP:PORT with a numeric address";
   options.node = *node;
   return "";
 }
 
-std::string ReadTime(const cxxopts::ParseResult& parsed,
-                     const std::string& name,
-                     Duration& time) {
+std::string ReadDuration(const cxxopts::ParseResult& parsed,
+                         const std::string& name,
+                         Duration& time) {
   if (parsed.count(name) == 0)
     return "";
   const std::optional<Duration> read =
       ParseDuration(parsed[name].as<std::string>());
   if (!read.has_value() || *read <= Duration(0))
-    return fmt::format("--{} is not a duration such as 10s", name);
+    return fmt::format("--{} must be a positive duration such as 10s", name);
   time = *read;
   return "";
 }
 
-std::string ReadRest(const cxxopts::ParseResult& parsed, CtlOptions& options) {
+std::string ReadCommandOptions(const cxxopts::ParseResult& parsed,
+                               CtlOptions& options) {
   if (parsed.count("token-file") > 0)
     options.token_file = parsed["token-file"].as<std::string>();
   if (parsed.count("if-version") > 0)
     options.if_version = RowVersion(parsed["if-version"].as<std::uint64_t>());
   if (parsed.count("format") > 0)
     options.format = parsed["format"].as<std::string>();
-  options.is_waiting = parsed.count("wait") > 0;
+  options.wait_until_in_force = parsed.count("wait") > 0;
   if (options.format != "text" && options.format != "json" &&
       options.format != "svg")
-    return "--format is text, json or svg";
+    return "--format must be text, json or svg";
   if (options.command == CtlCommand::kContractWithdraw &&
       options.if_version == kNoRow)
-    return "--if-version N is needed to withdraw";
-  std::string fault = ReadTime(parsed, "wait-limit", options.wait_limit);
+    return "--if-version N is required to withdraw a contract";
+  std::string fault = ReadDuration(parsed, "wait-limit", options.wait_limit);
   if (fault.empty())
-    fault = ReadTime(parsed, "timeout", options.timeout);
+    fault = ReadDuration(parsed, "timeout", options.timeout);
   return fault;
 }
 
 ParseResult Read(const cxxopts::ParseResult& parsed) {
   CtlOptions options;
-  std::string fault = ReadCommand(WordsOf(parsed), options);
+  std::string fault = ReadCommand(PositionalArguments(parsed), options);
   if (fault.empty())
     fault = ReadNode(parsed, options);
   if (fault.empty())
-    fault = ReadRest(parsed, options);
+    fault = ReadCommandOptions(parsed, options);
   if (!fault.empty())
     return CtlUsageError{fault};
   return options;
@@ -190,9 +196,9 @@
     const cxxopts::ParseResult parsed =
         options.parse(static_cast<int>(argv.size()), argv.data());
     if (parsed.count("help") > 0)
-      return CtlText{options.help() + kCommandsHelp};
+      return CtlInfoText{options.help() + kCommandsHelp};
     if (parsed.count("version") > 0)
-      return CtlText{"bulrushmountctl " BULRUSHMOUNT_VERSION "\n"};
+      return CtlInfoText{"bulrushmountctl " BULRUSHMOUNT_VERSION "\n"};
     return Read(parsed);
   } catch (const cxxopts::exceptions::exception& error) {
     return CtlUsageError{error.what()};
--- a/source/bulrushmountctl/ctl_options.h
+++ b/source/bulrushmountctl/ctl_options.h
@@ -1,4 +1,4 @@
-// The command line of `bulrushmountctl`, parsed.
+// Parses the command line of `bulrushmountctl`.
 
 #ifndef BULRUSHMOUNT_BULRUSHMOUNTCTL_CTL_OPTIONS_H_
 #define BULRUSHMOUNT_BULRUSHMOUNTCTL_CTL_OPTIONS_H_
@@ -31,22 +31,22 @@
 
 struct CtlOptions {
   CtlCommand command = CtlCommand::kStatus;
-  // The operator address of any node.
+  // Operator address of any node; unset for commands that need no node.
   Endpoint node;
   std::string token_file;
-  // FILE.yaml, FILE or NAME, as the command has it.
+  // The FILE, NAME or ZONE of the command; empty if it takes none.
   std::string argument;
-  // kNoRow if not given.
+  // kNoRow if the option is absent.
   RowVersion if_version;
-  bool is_waiting = false;
+  bool wait_until_in_force = false;
   Duration wait_limit = std::chrono::seconds(30);
   Duration timeout = std::chrono::seconds(10);
-  // text, json or svg.
+  // Format of the burn report: text, json or svg.
   std::string format = "text";
 };
 
-// To print and end with success: the help or the version.
-struct CtlText {
+// Text of `--help` or `--version`, printed before a successful exit.
+struct CtlInfoText {
   std::string text;
 };
 
@@ -54,8 +54,8 @@
   std::string message;
 };
 
-// `arguments` without the program's name.
-std::variant<CtlOptions, CtlText, CtlUsageError> ParseCtlOptions(
+// `arguments` exclude the program name.
+std::variant<CtlOptions, CtlInfoText, CtlUsageError> ParseCtlOptions(
     const std::vector<std::string>& arguments);
 
 }  // namespace bulrushmount
--- a/source/bulrushmountctl/evacuation_change.cc
+++ b/source/bulrushmountctl/evacuation_change.cc
@@ -1,4 +1,4 @@
-// Part of `evacuation_change.h`.
+// Parses the evacuation contract, edits its zone list and serializes it.
 
 #include "bulrushmountctl/evacuation_change.h"
 
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-std::variant<std::string, EvacuationFault> ChangeEvacuation(
-    EvacuationVerb verb,
+std::variant<std::string, EvacuationError> ChangeEvacuation(
+    EvacuationAction action,
     const AvailabilityZone& zone,
     std::string_view contract,
     const std::vector<AvailabilityZone>& known_zones) {
@@ -32,19 +32,20 @@
         parsed.contract ? std::get_if<EvacuationTerms>(&parsed.contract->terms)
                         : nullptr;
     if (!in_force)
-      return EvacuationFault{"the contract in force cannot be read"};
+      return EvacuationError{"the evacuation contract in force is invalid"};
     terms = *in_force;
   }
   const bool is_evacuated = Contains(terms.zones, zone);
-  if (verb == EvacuationVerb::kEnd) {
+  if (action == EvacuationAction::kEnd) {
     if (!is_evacuated)
-      return EvacuationFault{fmt::format("zone {} is not evacuated", zone)};
+      return EvacuationError{fmt::format("zone {} is not evacuated", zone)};
     std::erase(terms.zones, zone);
   } else {
     if (is_evacuated)
-      return EvacuationFault{fmt::format("zone {} is evacuated already", zone)};
+      return EvacuationError{fmt::format("zone {} is already evacuated", zone)};
     if (!known_zones.empty() && !Contains(known_zones, zone))
-      return EvacuationFault{fmt::format("zone {} is not known", zone)};
+      return EvacuationError{
+          fmt::format("zone {} is not known to the node", zone)};
     terms.zones.push_back(zone);
   }
   if (terms.zones.empty())
--- a/source/bulrushmountctl/evacuation_change.h
+++ b/source/bulrushmountctl/evacuation_change.h
@@ -1,5 +1,4 @@
-// Makes the contract of evacuated availability zones with one zone more or
-// less.
+// Adds a zone to the contract of evacuated availability zones or removes one.
 
 #ifndef BULRUSHMOUNT_BULRUSHMOUNTCTL_EVACUATION_CHANGE_H_
 #define BULRUSHMOUNT_BULRUSHMOUNTCTL_EVACUATION_CHANGE_H_
@@ -13,18 +12,19 @@
 
 namespace bulrushmount {
 
-enum class EvacuationVerb : bool { kBegin, kEnd };
+enum class EvacuationAction : bool { kBegin, kEnd };
 
-// Why the change makes no sense; one line for the operator.
-struct EvacuationFault {
+// Why the change is not possible, as one line for the operator.
+struct EvacuationError {
   std::string message;
 };
 
-// `contract` is the YAML in force, empty without one; `known_zones` are those
-// that the node lists, none if it accepts any. The contract's new YAML; empty
-// if no zone is left, so that the contract is to be withdrawn.
-std::variant<std::string, EvacuationFault> ChangeEvacuation(
-    EvacuationVerb verb,
+// Returns the new YAML of the contract, empty if no zone is left and the
+// contract must be withdrawn. `contract` is the YAML in force, empty if there
+// is none. `known_zones` are the zones that the node lists; if it lists none,
+// any zone is accepted.
+std::variant<std::string, EvacuationError> ChangeEvacuation(
+    EvacuationAction action,
     const AvailabilityZone& zone,
     std::string_view contract,
     const std::vector<AvailabilityZone>& known_zones);
--- a/source/bulrushmountctl/main.cc
+++ b/source/bulrushmountctl/main.cc
@@ -1,4 +1,4 @@
-// The command line for operators; see `--help`.
+// bulrushmountctl: the command line tool for operators; see `--help`.
 
 #include <iostream>
 
--- a/source/bulrushmountctl/operator_client.cc
+++ b/source/bulrushmountctl/operator_client.cc
@@ -1,4 +1,4 @@
-// Part of `operator_client.h`.
+// Implements `OperatorClient` with one connection for each request.
 
 #include "bulrushmountctl/operator_client.h"
 
@@ -21,13 +21,15 @@
 namespace http = boost::beast::http;
 using boost::system::error_code;
 
-// A report is the largest body.
-constexpr std::uint64_t kMaxBody = 16'777'216;
+// Limit in bytes; the burn report is the largest body.
+constexpr std::uint64_t kMaxBodyBytes = 16'777'216;
 
-// The asynchronous calls are used for their time-out, one after the other.
-class Exchange {
+// Runs the steps of one exchange in sequence. Each step is an asynchronous call
+// run to completion, because only asynchronous calls of `tcp_stream` have a
+// time-out.
+class OperatorExchange {
  public:
-  explicit Exchange(Duration timeout) : m_timeout(timeout) {}
+  explicit OperatorExchange(Duration timeout) : m_timeout(timeout) {}
 
   error_code Connect(const Endpoint& node) {
     const asio::ip::tcp::endpoint endpoint(asio::ip::make_address(node.ip),
@@ -86,7 +88,7 @@
   return message;
 }
 
-// The number in `"12"`; kNoRow for all else.
+// Parses an entity tag such as `"12"`; returns kNoRow for any other text.
 RowVersion ParseETag(std::string_view etag) {
   if (etag.size() < 2 || etag.front() != '"' || etag.back() != '"')
     return kNoRow;
@@ -108,7 +110,7 @@
 
 std::variant<OperatorReply, OperatorError> OperatorClient::Send(
     const OperatorRequest& request) const {
-  Exchange exchange(m_timeout);
+  OperatorExchange exchange(m_timeout);
   if (const error_code error = exchange.Connect(m_node))
     return OperatorError{false, error.message()};
 
@@ -118,7 +120,7 @@
     return OperatorError{true, error.message()};
 
   http::response_parser<http::string_body> parser;
-  parser.body_limit(kMaxBody);
+  parser.body_limit(kMaxBodyBytes);
   if (const error_code error = exchange.Read(parser))
     return OperatorError{true, error.message()};
 
--- a/source/bulrushmountctl/operator_client.h
+++ b/source/bulrushmountctl/operator_client.h
@@ -1,4 +1,5 @@
-// One HTTP exchange with a node's operator address.
+// HTTP client for a node's operator address; each request uses a connection of
+// its own.
 
 #ifndef BULRUSHMOUNT_BULRUSHMOUNTCTL_OPERATOR_CLIENT_H_
 #define BULRUSHMOUNT_BULRUSHMOUNTCTL_OPERATOR_CLIENT_H_
@@ -16,26 +17,28 @@
   std::string method;
   std::string target;
   std::string body;
-  // Sent as `If-Match`; kNoRow for none.
+  // Sent as `If-Match`; kNoRow omits the header.
   RowVersion if_version;
 };
 
 struct OperatorReply {
   int status = 0;
   std::string body;
-  // Of `ETag`; kNoRow without one.
+  // Parsed from `ETag`; kNoRow if the header is missing or invalid.
   RowVersion version;
 };
 
 struct OperatorError {
-  // False: no connection was made, so the node knows nothing of the request.
+  // False if no connection was made, so the node cannot have received any part
+  // of the request.
   bool is_sent = false;
   std::string message;
 };
 
 class OperatorClient {
  public:
-  // `token` is sent as bearer token unless empty.
+  // A non-empty `token` is sent as bearer token. `timeout` applies to each of
+  // connecting, writing and reading.
   OperatorClient(Endpoint node, std::string token, Duration timeout);
 
   std::variant<OperatorReply, OperatorError> Send(
--- a/source/unit_tests/bulrushmountctl/ctl_test.cc
+++ b/source/unit_tests/bulrushmountctl/ctl_test.cc
@@ -1,4 +1,5 @@
-// Tests of `bulrushmountctl` against a scripted node on the loopback address.
+// Tests `bulrushmountctl` against a scripted HTTP server on the loopback
+// address.
 
 #include "bulrushmountctl/ctl_commands.h"
 
@@ -22,13 +23,13 @@
 using testing::HasSubstr;
 
 struct ScriptedReply {
-  // 0: the connection is closed without a reply.
+  // 0 closes the connection without a reply.
   unsigned status = 200;
   std::string body;
   std::string etag;
 };
 
-// Answers one connection with each reply, in order, and then stops.
+// Accepts one connection for each reply, answers them in order and stops.
 class ScriptedNode {
  public:
   explicit ScriptedNode(std::vector<ScriptedReply> replies)
@@ -44,7 +45,8 @@
     return "127.0.0.1:" + std::to_string(m_acceptor.local_endpoint().port());
   }
 
-  // "METHOD target If-Match Authorization", once all replies are given.
+  // Waits until all replies are sent and returns one line for each request:
+  // "METHOD target If-Match Authorization".
   std::vector<std::string> Requests() {
     m_thread.join();
     return m_requests;
@@ -81,15 +83,15 @@
 };
 
 struct CtlResult {
-  CtlExit exit;
+  CtlExitCode exit;
   std::string out;
   std::string error;
 };
 
-CtlResult Ctl(const std::vector<std::string>& arguments) {
+CtlResult RunCtlCommand(const std::vector<std::string>& arguments) {
   std::ostringstream out;
   std::ostringstream error;
-  const CtlExit exit = RunCtl(arguments, out, error);
+  const CtlExitCode exit = RunCtl(arguments, out, error);
   return {exit, out.str(), error.str()};
 }
 
@@ -98,15 +100,15 @@
 struct UsageCase {
   std::string name;
   std::vector<std::string> arguments;
-  CtlExit exit;
-  // Somewhere in the output or the error.
+  CtlExitCode exit;
+  // Expected substring of the output or the error.
   std::string text;
 };
 
 class CtlUsageTest : public testing::TestWithParam<UsageCase> {};
 
-TEST_P(CtlUsageTest, EndsBeforeAnyNodeIsAsked) {
-  const CtlResult result = Ctl(GetParam().arguments);
+TEST_P(CtlUsageTest, ExitsWithoutContactingANode) {
+  const CtlResult result = RunCtlCommand(GetParam().arguments);
   EXPECT_EQ(result.exit, GetParam().exit);
   EXPECT_THAT(result.out + result.error, HasSubstr(GetParam().text));
 }
@@ -115,54 +117,55 @@
     Cases,
     CtlUsageTest,
     testing::Values(
-        UsageCase{"Help", {"--help"}, CtlExit::kDone, "contract withdraw"},
-        UsageCase{"Version", {"--version"}, CtlExit::kDone, "0."},
-        UsageCase{"Nothing", {}, CtlExit::kUsage, "unknown command"},
-        UsageCase{"BadOption", {"--colour"}, CtlExit::kUsage, "colour"},
-        UsageCase{"NoNode", {"status"}, CtlExit::kUsage, "--node"},
+        UsageCase{"Help", {"--help"}, CtlExitCode::kDone, "contract withdraw"},
+        UsageCase{"Version", {"--version"}, CtlExitCode::kDone, "0."},
+        UsageCase{"Nothing", {}, CtlExitCode::kUsage, "unknown command"},
+        UsageCase{"BadOption", {"--colour"}, CtlExitCode::kUsage, "colour"},
+        UsageCase{"NoNode", {"status"}, CtlExitCode::kUsage, "--node"},
         UsageCase{"HostName",
                   {"--node", "localhost:1", "status"},
-                  CtlExit::kUsage,
+                  CtlExitCode::kUsage,
                   "IP:PORT"},
         UsageCase{"NoVersion",
                   {"--node", "127.0.0.1:1", "contract", "withdraw", "a"},
-                  CtlExit::kUsage,
+                  CtlExitCode::kUsage,
                   "--if-version"},
         UsageCase{"BadName",
                   {"--node", "127.0.0.1:1", "contract", "show", "a/b"},
-                  CtlExit::kUsage,
+                  CtlExitCode::kUsage,
                   "NAME"},
         UsageCase{"BadFormat",
                   {"--node", "127.0.0.1:1", "report", "burn", "--format", "x"},
-                  CtlExit::kUsage,
+                  CtlExitCode::kUsage,
                   "--format"},
         UsageCase{"Check",
                   {"contract", "check", kStudio},
-                  CtlExit::kDone,
+                  CtlExitCode::kDone,
                   "no faults, workspace studio"},
         UsageCase{"CheckFaults",
                   {"contract", "check", BULRUSHMOUNT_EXAMPLES "/node.yaml"},
-                  CtlExit::kUsage,
+                  CtlExitCode::kUsage,
                   "node.yaml:3:1: missing key 'workspace'"},
         UsageCase{"NoFile",
                   {"contract", "check", "no-such-file.yaml"},
-                  CtlExit::kUsage,
+                  CtlExitCode::kUsage,
                   "cannot read"}),
     [](const auto& info) { return info.param.name; });
 
 struct ReplyCase {
   std::string name;
   ScriptedReply reply;
-  CtlExit exit;
+  CtlExitCode exit;
   std::string text;
 };
 
 class CtlReplyTest : public testing::TestWithParam<ReplyCase> {};
 
-TEST_P(CtlReplyTest, TellsWhatCameOfTheWrite) {
+TEST_P(CtlReplyTest, MapsReplyToExitStatusAndMessage) {
   ScriptedNode node({GetParam().reply});
-  const CtlResult result = Ctl({"--node", node.address(), "contract", "write",
-                                kStudio, "--if-version", "7"});
+  const CtlResult result =
+      RunCtlCommand({"--node", node.address(), "contract", "write", kStudio,
+                     "--if-version", "7"});
   EXPECT_EQ(result.exit, GetParam().exit) << result.error;
   EXPECT_THAT(result.out + result.error, HasSubstr(GetParam().text));
   EXPECT_THAT(node.Requests(), ElementsAre("PUT /contracts/studio \"7\" "));
@@ -174,22 +177,22 @@
     testing::Values(
         ReplyCase{"Done",
                   {200, "{\"version\":8}", "\"8\""},
-                  CtlExit::kDone,
+                  CtlExitCode::kDone,
                   "\"version\":8"},
         ReplyCase{"Race",
                   {412, "{\"error\":\"another\"}", "\"9\""},
-                  CtlExit::kRefused,
+                  CtlExitCode::kRefused,
                   "412: another\ncurrent version: 9"},
         ReplyCase{"Faults",
                   {400,
                    "{\"error\":\"faults\",\"faults\":[{\"line\":3,"
                    "\"column\":5,\"message\":\"bad\"}]}",
                    ""},
-                  CtlExit::kUsage,
+                  CtlExitCode::kUsage,
                   "line 3, column 5: bad"},
-        ReplyCase{"StoreDown", {503, "down", ""}, CtlExit::kRefused, "503"},
-        ReplyCase{"Unknown", {504, "{}", ""}, CtlExit::kUnknown, "504"},
-        ReplyCase{"Closed", {0, "", ""}, CtlExit::kUnknown, "read back"}),
+        ReplyCase{"StoreDown", {503, "down", ""}, CtlExitCode::kRefused, "503"},
+        ReplyCase{"Unknown", {504, "{}", ""}, CtlExitCode::kUnknown, "504"},
+        ReplyCase{"Closed", {0, "", ""}, CtlExitCode::kUnknown, "read back"}),
     [](const auto& info) { return info.param.name; });
 
 TEST(CtlTest, SummarizesLogsWithoutANode) {
@@ -200,10 +203,10 @@
          "reason=throttled\n";
   std::ostringstream out;
   std::ostringstream error;
-  EXPECT_EQ(RunCtl({"logs", "summary", name}, out, error), CtlExit::kDone);
+  EXPECT_EQ(RunCtl({"logs", "summary", name}, out, error), CtlExitCode::kDone);
   EXPECT_THAT(out.str(), HasSubstr("answered/none=1 not-run/throttled=1"));
   EXPECT_EQ(RunCtl({"logs", "summary", name + ".gone"}, out, error),
-            CtlExit::kUsage);
+            CtlExitCode::kUsage);
   EXPECT_THAT(error.str(), HasSubstr("cannot read"));
 }
 
@@ -216,8 +219,8 @@
     address = "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
   }
   const CtlResult result =
-      Ctl({"--node", address, "contract", "write", kStudio});
-  EXPECT_EQ(result.exit, CtlExit::kUnknown);
+      RunCtlCommand({"--node", address, "contract", "write", kStudio});
+  EXPECT_EQ(result.exit, CtlExitCode::kUnknown);
   EXPECT_THAT(result.error, HasSubstr("nothing was written"));
 }
 
@@ -225,25 +228,27 @@
   const std::string token_file = testing::TempDir() + "/ctl_test_token";
   std::ofstream(token_file) << "secret\n";
   ScriptedNode node({{200, "workspace: a\n", "\"5\""}});
-  const CtlResult result = Ctl({"--node", node.address(), "--token-file",
-                                token_file, "contract", "show", "a"});
+  const CtlResult result =
+      RunCtlCommand({"--node", node.address(), "--token-file", token_file,
+                     "contract", "show", "a"});
   EXPECT_EQ(result.out, "# version: 5\nworkspace: a\n");
   EXPECT_THAT(node.Requests(), ElementsAre("GET /contracts/a  Bearer secret"));
 }
 
 TEST(CtlTest, WaitsForEveryLiveMember) {
-  const std::string behind =
+  const std::string one_member_behind =
       R"({"revision":4,"members":[{"revision":4,"state":"alive"},)"
       R"({"revision":3,"state":"suspect"},{"revision":1,"state":"dead"}]})";
-  const std::string there =
+  const std::string all_up_to_date =
       R"({"revision":4,"members":[{"revision":5,"state":"alive"},)"
       R"({"revision":4,"state":"alive"},{"revision":1,"state":"left"}]})";
-  ScriptedNode node(
-      {{200, R"({"revision":4})", ""}, {200, behind, ""}, {200, there, ""}});
+  ScriptedNode node({{200, R"({"revision":4})", ""},
+                     {200, one_member_behind, ""},
+                     {200, all_up_to_date, ""}});
   const CtlResult result =
-      Ctl({"--node", node.address(), "contract", "withdraw", "a",
-           "--if-version", "3", "--wait"});
-  EXPECT_EQ(result.exit, CtlExit::kDone) << result.error;
+      RunCtlCommand({"--node", node.address(), "contract", "withdraw", "a",
+                     "--if-version", "3", "--wait"});
+  EXPECT_EQ(result.exit, CtlExitCode::kDone) << result.error;
   EXPECT_EQ(node.Requests().size(), 3u);
 }
 
@@ -254,8 +259,8 @@
 TEST(CtlTest, ListsEvacuatedZones) {
   ScriptedNode node({{200, kEvacuationStatus, ""}});
   const CtlResult result =
-      Ctl({"--node", node.address(), "evacuation", "list"});
-  EXPECT_EQ(result.exit, CtlExit::kDone);
+      RunCtlCommand({"--node", node.address(), "evacuation", "list"});
+  EXPECT_EQ(result.exit, CtlExitCode::kDone);
   EXPECT_EQ(result.out, "a\n");
 }
 
@@ -263,26 +268,27 @@
   const char* name;
   const char* verb;
   const char* zone;
-  // In force, empty without one.
+  // Evacuation contract in force; empty if there is none.
   const char* contract;
-  CtlExit exit;
+  CtlExitCode exit;
   const char* output;
   std::size_t requests;
 };
 
 class CtlEvacuationTest : public testing::TestWithParam<EvacuationCase> {};
 
-TEST_P(CtlEvacuationTest, ChangesTheContractOrSaysWhyNot) {
-  const bool is_there = *GetParam().contract != '\0';
-  // The node waits for as many requests as it has replies.
+TEST_P(CtlEvacuationTest, ChangesContractOrReportsError) {
+  const bool contract_exists = *GetParam().contract != '\0';
+  // The scripted node waits for as many requests as it has replies.
   std::vector<ScriptedReply> replies = {
       {200, kEvacuationStatus, ""},
-      {is_there ? 200U : 404U, GetParam().contract, "\"5\""}};
-  if (GetParam().exit == CtlExit::kDone)
+      {contract_exists ? 200U : 404U, GetParam().contract, "\"5\""}};
+  if (GetParam().exit == CtlExitCode::kDone)
     replies.push_back({200, R"({"revision":4})", ""});
   ScriptedNode node(replies);
-  const CtlResult result = Ctl({"--node", node.address(), "evacuation",
-                                GetParam().verb, GetParam().zone});
+  const CtlResult result =
+      RunCtlCommand({"--node", node.address(), "evacuation", GetParam().verb,
+                     GetParam().zone});
   EXPECT_EQ(result.exit, GetParam().exit) << result.error;
   EXPECT_THAT(result.out + result.error, HasSubstr(GetParam().output));
   EXPECT_EQ(node.Requests().size(), GetParam().requests);
@@ -291,27 +297,28 @@
 INSTANTIATE_TEST_SUITE_P(
     Changes,
     CtlEvacuationTest,
-    testing::Values(EvacuationCase{"First", "begin", "b", "", CtlExit::kDone,
-                                   "revision", 3},
-                    EvacuationCase{"Second", "begin", "b", kEvacuationOfA,
-                                   CtlExit::kDone, "revision", 3},
-                    EvacuationCase{"Last", "end", "a", kEvacuationOfA,
-                                   CtlExit::kDone, "revision", 3},
-                    EvacuationCase{"Twice", "begin", "a", kEvacuationOfA,
-                                   CtlExit::kRefused, "evacuated already", 2},
-                    EvacuationCase{"UnknownZone", "begin", "c", "",
-                                   CtlExit::kRefused, "zone c is not known", 2},
-                    EvacuationCase{"NotEvacuated", "end", "b", kEvacuationOfA,
-                                   CtlExit::kRefused, "is not evacuated", 2}),
+    testing::Values(
+        EvacuationCase{"First", "begin", "b", "", CtlExitCode::kDone,
+                       "revision", 3},
+        EvacuationCase{"Second", "begin", "b", kEvacuationOfA,
+                       CtlExitCode::kDone, "revision", 3},
+        EvacuationCase{"Last", "end", "a", kEvacuationOfA, CtlExitCode::kDone,
+                       "revision", 3},
+        EvacuationCase{"Twice", "begin", "a", kEvacuationOfA,
+                       CtlExitCode::kRefused, "already evacuated", 2},
+        EvacuationCase{"UnknownZone", "begin", "c", "", CtlExitCode::kRefused,
+                       "zone c is not known to the node", 2},
+        EvacuationCase{"NotEvacuated", "end", "b", kEvacuationOfA,
+                       CtlExitCode::kRefused, "is not evacuated", 2}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(CtlTest, SaysWhenItWaitedInVain) {
+TEST(CtlTest, ReportsExpiredWait) {
   ScriptedNode node({{200, R"({"revision":4})", ""},
                      {200, R"({"revision":3,"members":[]})", ""}});
   const CtlResult result =
-      Ctl({"--node", node.address(), "contract", "withdraw", "a",
-           "--if-version", "3", "--wait", "--wait-limit", "1ms"});
-  EXPECT_EQ(result.exit, CtlExit::kUnknown);
+      RunCtlCommand({"--node", node.address(), "contract", "withdraw", "a",
+                     "--if-version", "3", "--wait", "--wait-limit", "1ms"});
+  EXPECT_EQ(result.exit, CtlExitCode::kUnknown);
   EXPECT_THAT(result.error, HasSubstr("accepted, but not seen"));
 }
 
