--- a/source/bulrushmountd/main.cc
+++ b/source/bulrushmountd/main.cc
@@ -1,5 +1,5 @@
-// The daemon: one node, beside one target, that speaks the product's own
-// protocols.
+// bulrushmountd: the daemon, which runs one node next to one target and uses
+// the built-in protocols.
 
 #include "core/transport/daemon_main.h"
 
