--- a/source/stand_ins/announcer.cc
+++ b/source/stand_ins/announcer.cc
@@ -1,4 +1,4 @@
-// Part of `announcer.h`.
+// Sends the announcements as JSON over one connection to the node.
 
 #include "stand_ins/announcer.h"
 
@@ -15,7 +15,8 @@
 
 constexpr auto kHeartbeatInterval = std::chrono::seconds(1);
 
-// The node reaches the target at the address that its announcements come from.
+// Binds the connection to the target's IP address, because the node takes the
+// source address of an announcement as the address of the target.
 HttpClientSettings ClientSettings(const Endpoint& node,
                                   const std::string& target_ip) {
   HttpClientSettings settings;
--- a/source/stand_ins/announcer.h
+++ b/source/stand_ins/announcer.h
@@ -1,4 +1,4 @@
-// Tells the node beside a target that the target is there, and that it leaves.
+// Announces a target to the node next to it, and withdraws it when it leaves.
 
 #ifndef BULRUSHMOUNT_STAND_INS_ANNOUNCER_H_
 #define BULRUSHMOUNT_STAND_INS_ANNOUNCER_H_
@@ -16,26 +16,28 @@
 
 struct Announcement {
   std::string service;
-  // Where the target listens.
+  // Address on which the target listens.
   std::string ip;
   std::uint16_t port = 0;
+  // Requests that the target runs at once.
   std::uint32_t slots = 0;
   std::uint32_t connections = 0;
   std::uint64_t incarnation = 0;
-  // Left out of the message if empty.
+  // Omitted from the message if empty.
   std::string availability_zone;
 };
 
+// Keeps one announcement alive at one node.
 class Announcer {
  public:
   Announcer(boost::asio::io_context& io,
             const Endpoint& node,
             Announcement announcement);
 
-  // PUT /target now and once a second: the heartbeat.
+  // Sends PUT /target now and then once a second as heartbeat.
   void Start();
-  // Ends the heartbeat and sends DELETE /target; `done` is called when that is
-  // answered or has failed.
+  // Ends the heartbeat and sends DELETE /target. Calls `done` when that request
+  // is answered or has failed.
   void Withdraw(std::function<void()> done);
 
  private:
--- a/source/stand_ins/announcer_stand_in.cc
+++ b/source/stand_ins/announcer_stand_in.cc
@@ -1,5 +1,6 @@
-// announcer_stand_in: announces a target to each of many nodes, without any
-// target, so that a whole fleet of nodes idles for the price of one process.
+// announcer_stand_in: announces a target to each of many nodes without running
+// any target, so that a test of an idle fleet needs one process in place of one
+// for each target.
 
 #include <memory>
 #include <string>
@@ -18,15 +19,16 @@
   cxxopts::Options options("announcer_stand_in",
                            "Announces a target to each of many nodes");
   auto add = options.add_options();
-  add("nodes", "Target addresses IP:PORT,... of the nodes",
+  add("nodes", "Addresses IP:PORT,... on which the nodes take announcements",
       cxxopts::value<std::vector<std::string>>());
-  add("service", "Name",
+  add("service", "Service name",
       cxxopts::value<std::string>()->default_value("session-desk"));
-  add("services", "Spread the nodes over so many services, NAME-0, NAME-1, ...",
+  add("services",
+      "Number of services, named NAME-0, NAME-1, ..., over the nodes",
       cxxopts::value<std::uint32_t>()->default_value("1"));
-  add("port", "Announced for each, and not listened on",
+  add("port", "Port announced for each target; nothing listens on it",
       cxxopts::value<std::uint16_t>()->default_value("9"));
-  add("slots", "Requests at once",
+  add("slots", "Concurrent requests announced",
       cxxopts::value<std::uint32_t>()->default_value("12"));
   add("connections", "Connections announced",
       cxxopts::value<std::uint32_t>()->default_value("220"));
--- a/source/stand_ins/caller_load.cc
+++ b/source/stand_ins/caller_load.cc
@@ -1,5 +1,5 @@
-// caller_load: callers that send at their own pace whatever comes back, and
-// judge each answer.
+// caller_load: an open-loop load generator. It sends requests on a
+// schedule that does not depend on the answers, and verifies each answer.
 
 #include <cstdint>
 #include <fstream>
@@ -32,24 +32,28 @@
     return cxxopts::value<std::uint64_t>()->default_value(value);
   };
   auto add = options.add_options();
-  add("entries", "IP:PORT,...", cxxopts::value<std::vector<std::string>>());
-  add("workspace", "Name", text(""));
-  add("service", "Name", text(""));
-  add("rate", "Requests a second",
+  add("entries", "Addresses IP:PORT,... that receive the requests",
+      cxxopts::value<std::vector<std::string>>());
+  add("workspace", "Workspace name", text(""));
+  add("service", "Service name", text(""));
+  add("rate", "Requests per second, bursts not counted",
       cxxopts::value<double>()->default_value("100"));
-  add("duration-s", "Seconds", cxxopts::value<double>()->default_value("10"));
+  add("duration-s", "Duration in seconds",
+      cxxopts::value<double>()->default_value("10"));
   add("kind", "\"name method path weight [key] [body N]\"; may be repeated",
       cxxopts::value<std::vector<std::string>>());
-  add("mix", "File with one kind a line", text(""));
-  add("seed", "Of arrivals, kinds and bodies", number("1"));
+  add("mix", "File with one request kind per line", text(""));
+  add("seed", "Random seed of arrivals, kinds and bodies", number("1"));
   add("burst-every-ms", "Interval of bursts; 0: none", number("0"));
-  add("burst-size", "Requests of a burst", number("0"));
-  add("timeout-ms", "Until a request counts as left hanging", number("30000"));
-  add("connections", "At most", number("2000"));
-  add("deadline-ms", "Sent with each request; 0: none", number("0"));
-  add("ledger", "File for one JSON line a request", text(""));
-  add("json", "Print the summary as JSON too");
-  add("direct", "The entries are targets");
+  add("burst-size", "Requests per burst", number("0"));
+  add("timeout-ms", "Time after which a request counts as without outcome",
+      number("30000"));
+  add("connections", "Maximum number of concurrent connections",
+      number("2000"));
+  add("deadline-ms", "Deadline sent with each request; 0: none", number("0"));
+  add("ledger", "File that receives one JSON line per request", text(""));
+  add("json", "Also print the summary as JSON");
+  add("direct", "The entries are targets, not nodes");
   return options;
 }
 
@@ -63,13 +67,15 @@
     for (const auto& spec : parsed["kind"].as<std::vector<std::string>>()) {
       const auto kind = ParseLoadKind(spec);
       if (!kind) {
-        throw std::invalid_argument("not a kind: " + spec);
+        throw std::invalid_argument(
+            "--kind must be NAME METHOD PATH WEIGHT [key] [body N], found " +
+            spec);
       }
       kinds.push_back(*kind);
     }
   }
   if (kinds.empty()) {
-    throw std::invalid_argument("neither --kind nor --mix gives a kind");
+    throw std::invalid_argument("no request kind given; use --kind or --mix");
   }
   return kinds;
 }
@@ -105,7 +111,7 @@
   return options;
 }
 
-// Sends on schedule and gathers the results.
+// Sends requests on schedule, sums up the results and writes the ledger.
 class CallerLoad {
  public:
   CallerLoad(boost::asio::io_context& io,
@@ -180,7 +186,8 @@
   LoadClient m_client;
 };
 
-// 0: sound; 1: a request without outcome or an answer to another request.
+// Returns the exit status: 1 if a request had no outcome or an answer belonged
+// to another request, else 0.
 int Run(const cxxopts::ParseResult& parsed) {
   const LoadOptions load_options = ReadLoadOptions(parsed);
   boost::asio::io_context io(1);
@@ -190,7 +197,7 @@
   if (parsed.count("json") > 0) {
     std::cout << boost::json::serialize(load.summary().ToJson()) << "\n";
   }
-  return load.summary().IsSound() ? 0 : 1;
+  return load.summary().HasPassed() ? 0 : 1;
 }
 
 }  // namespace
--- a/source/stand_ins/child_process.cc
+++ b/source/stand_ins/child_process.cc
@@ -1,4 +1,4 @@
-// Part of `child_process.h`.
+// Implements `ChildProcess` with fork, exec and signals.
 
 #include "stand_ins/child_process.h"
 
@@ -26,12 +26,13 @@
   return ::open(path.c_str(), kLogFlags, 0644);
 }
 
-// In the child, between fork and exec: only async-signal-safe calls. What goes
-// wrong if it inherits sockets: a listener that the parent closes goes on, and
-// its connections stay open.
-[[noreturn]] void Become(std::vector<char*>& arguments,
-                         int stdout_file,
-                         int stderr_file) {
+// Runs in the child between fork and exec, so it makes only async-signal-safe
+// calls. Closes all inherited descriptors: a listening socket held by the child
+// would go on accepting connections, and hold them open, after the parent has
+// closed it.
+[[noreturn]] void ExecProgram(std::vector<char*>& arguments,
+                              int stdout_file,
+                              int stderr_file) {
   ::dup2(stdout_file, STDOUT_FILENO);
   ::dup2(stderr_file, STDERR_FILENO);
   ::close_range(STDERR_FILENO + 1, ~0U, 0);
@@ -42,9 +43,9 @@
 }  // namespace
 
 bool WaitUntil(const std::function<bool()>& is_done, Duration limit) {
-  const TimePoint give_up = Now() + limit;
+  const TimePoint deadline = Now() + limit;
   while (!is_done()) {
-    if (Now() > give_up) {
+    if (Now() > deadline) {
       return false;
     }
     std::this_thread::sleep_for(kPollInterval);
@@ -68,7 +69,7 @@
   pointers.push_back(nullptr);
   m_pid = ::fork();
   if (m_pid == 0) {
-    Become(pointers, output_log, error_log);
+    ExecProgram(pointers, output_log, error_log);
   }
   ::close(error_log);
   ::close(output_log);
@@ -127,7 +128,8 @@
   return ReadFile(m_stderr_file);
 }
 
-// A reaped id may belong to another process by now; it must get no signal.
+// Sends nothing once the process is reaped, because its id may belong to
+// another process by then.
 void ChildProcess::Signal(int number) {
   if (!m_exit) {
     ::kill(m_pid, number);
--- a/source/stand_ins/child_process.h
+++ b/source/stand_ins/child_process.h
@@ -1,4 +1,4 @@
-// Starts, kills, freezes and watches real processes.
+// Starts, signals and observes child processes in tests.
 
 #ifndef BULRUSHMOUNT_STAND_INS_CHILD_PROCESS_H_
 #define BULRUSHMOUNT_STAND_INS_CHILD_PROCESS_H_
@@ -15,28 +15,31 @@
 
 namespace bulrushmount {
 
-// Only ends a test that hangs: no verdict may depend on how long a wait takes.
+// Limit that ends a hanging test. No test may pass or fail by how long a wait
+// takes.
 inline constexpr Duration kGenerousLimit = std::chrono::seconds(60);
 
-// Polls until `is_done`; false once `limit` has passed.
+// Polls until `is_done` returns true; returns false once `limit` has passed.
 bool WaitUntil(const std::function<bool()>& is_done,
                Duration limit = kGenerousLimit);
 
 struct ExitStatus {
-  // Empty if a signal ended it.
+  // Empty if a signal ended the process.
   std::optional<int> code;
+  // Empty if the process exited by itself.
   std::optional<int> signal;
 };
 
-// One child process. Its standard error goes to a file, its standard output
-// to the file of that name with ".out" after it.
+// One child process. Its standard error is appended to `stderr_file`, its
+// standard output to the file of that name with the suffix ".out".
 class ChildProcess {
  public:
-  // Throws std::runtime_error if it can't be started.
+  // Throws std::runtime_error if the fork fails. If the program cannot be
+  // executed, the child exits with status 127.
   ChildProcess(const std::string& program,
                const std::vector<std::string>& arguments,
                std::string stderr_file);
-  // Kills it, if it still runs, and reaps it.
+  // Kills the process if it still runs, and reaps it.
   ~ChildProcess();
 
   ChildProcess(const ChildProcess&) = delete;
@@ -44,17 +47,17 @@
 
   pid_t pid() const { return m_pid; }
   bool IsRunning();
-  // SIGKILL; returns when the process is gone.
+  // Sends SIGKILL and returns when the process has ended.
   void Kill();
-  // SIGSTOP; returns when the process has stopped.
+  // Sends SIGSTOP and returns when the process has stopped.
   void Freeze();
-  // SIGCONT.
+  // Sends SIGCONT.
   void Thaw();
-  // SIGTERM; does not wait.
+  // Sends SIGTERM and does not wait.
   void Terminate();
-  // SIGHUP.
+  // Sends SIGHUP.
   void Reload();
-  // Empty if it still runs after `limit`.
+  // Returns nothing if the process still runs after `limit`.
   std::optional<ExitStatus> WaitForExit(Duration limit = kGenerousLimit);
   std::string StderrText() const;
   std::string StdoutText() const;
--- a/source/stand_ins/cuttable_relay.cc
+++ b/source/stand_ins/cuttable_relay.cc
@@ -1,5 +1,5 @@
-// Two pumps a connection, one for each direction; a stalled pump holds what it
-// has read and reads no more.
+// Each connection has two pumps, one for each direction. A stalled pump keeps
+// the bytes that it has read and stops reading.
 
 #include "stand_ins/cuttable_relay.h"
 
@@ -26,30 +26,32 @@
 namespace detail {
 namespace {
 
+// Copies bytes in one direction of a connection.
 struct Pump {
-  Pump(Socket& source, Socket& sink, bool is_down, asio::io_context& io)
-      : from(&source), to(&sink), is_from_server(is_down), delay(io) {}
+  Pump(Socket& source, Socket& sink, bool from_server, asio::io_context& io)
+      : from(&source), to(&sink), is_from_server(from_server), delay(io) {}
 
   Socket* from;
   Socket* to;
   std::array<char, 16384> bytes{};
   std::size_t length = 0;
-  // Holds bytes that wait for the link to open.
-  bool is_held = false;
+  // Whether `bytes` holds data that waits for the link to open.
+  bool holds_bytes = false;
   bool is_from_server;
   asio::steady_timer delay;
 };
 
 }  // namespace
 
+// One relayed connection: the client's socket and the one to the server.
 class RelayConnection : public std::enable_shared_from_this<RelayConnection> {
  public:
   RelayConnection(Socket client, asio::io_context& io, const LinkState& state)
       : m_client(std::move(client)),
         m_server(io),
         m_state(state),
-        m_up(m_client, m_server, false, io),
-        m_down(m_server, m_client, true, io) {}
+        m_client_to_server(m_client, m_server, false, io),
+        m_server_to_client(m_server, m_client, true, io) {}
 
   void Start(const Endpoint& server) {
     m_server.async_connect({asio::ip::make_address(server.ip), server.port},
@@ -58,20 +60,22 @@
                                self->Reset();
                                return;
                              }
-                             self->Read(self->m_up);
-                             self->Read(self->m_down);
+                             self->Read(self->m_client_to_server);
+                             self->Read(self->m_server_to_client);
                            });
   }
 
+  // Writes the bytes held by pumps that are no longer stalled.
   void Resume() {
-    for (Pump* const pump : {&m_up, &m_down}) {
-      if (!IsStalled(*pump) && std::exchange(pump->is_held, false)) {
+    for (Pump* const pump : {&m_client_to_server, &m_server_to_client}) {
+      if (!IsStalled(*pump) && std::exchange(pump->holds_bytes, false)) {
         Write(*pump);
       }
     }
   }
 
-  // With a reset, so that neither side takes it for a clean end.
+  // Closes both sockets with a TCP reset, so that neither side reads a regular
+  // end of stream.
   void Reset() {
     error_code ignored;
     for (Socket* const socket : {&m_client, &m_server}) {
@@ -101,7 +105,7 @@
       return;
     }
     if (IsStalled(pump)) {
-      pump.is_held = true;
+      pump.holds_bytes = true;
     } else if (m_state == LinkState::kSlow) {
       pump.delay.expires_after(CuttableRelay::kDelay);
       pump.delay.async_wait([self = shared_from_this(),
@@ -131,10 +135,11 @@
   Socket m_client;
   Socket m_server;
   const LinkState& m_state;
-  Pump m_up;
-  Pump m_down;
+  Pump m_client_to_server;
+  Pump m_server_to_client;
 };
 
+// Accepts connections and runs the event loop on its own thread.
 class RelayLoop {
  public:
   RelayLoop(const Endpoint& listen, Endpoint server)
--- a/source/stand_ins/cuttable_relay.h
+++ b/source/stand_ins/cuttable_relay.h
@@ -1,4 +1,4 @@
-// A TCP relay between two processes whose link a test can cut, stall or slow.
+// A TCP relay between two processes that can cut, stall or slow their link.
 
 #ifndef BULRUSHMOUNT_STAND_INS_CUTTABLE_RELAY_H_
 #define BULRUSHMOUNT_STAND_INS_CUTTABLE_RELAY_H_
@@ -12,14 +12,14 @@
 
 enum class LinkState : unsigned char {
   kOpen,
-  // Open connections are reset, new ones closed at once.
+  // Open connections are reset and new ones are closed at once.
   kCut,
-  // Connections stay and are accepted, but no byte gets through: packets are
-  // lost without anyone being told.
+  // Connections stay open and new ones are accepted, but no byte is relayed, as
+  // if all packets were lost.
   kStalled,
-  // The same for what the server sends only.
+  // As kStalled, but only in the direction from server to client.
   kStalledDown,
-  // Each piece comes late.
+  // Each read is relayed `CuttableRelay::kDelay` late.
   kSlow,
 };
 
@@ -27,20 +27,21 @@
 class RelayLoop;
 }  // namespace detail
 
-// Runs on a thread of its own.
+// Relays connections on a thread of its own.
 class CuttableRelay {
  public:
-  // Throws boost::system::system_error if it can't listen.
+  // Throws boost::system::system_error if it cannot listen.
   CuttableRelay(const Endpoint& listen, const Endpoint& server);
   ~CuttableRelay();
 
   CuttableRelay(const CuttableRelay&) = delete;
   CuttableRelay& operator=(const CuttableRelay&) = delete;
 
-  // How late pieces come in kSlow.
+  // Delay of each read in kSlow.
   static constexpr std::chrono::milliseconds kDelay{120};
 
-  // In force when it returns. Bytes held by a stall flow on when it is over.
+  // Returns when the state is in force. Bytes held by a stall are relayed when
+  // it ends.
   void Set(LinkState state);
 
  private:
--- a/source/stand_ins/http_server.cc
+++ b/source/stand_ins/http_server.cc
@@ -1,5 +1,5 @@
-// A session is one connection: it reads a request, hands it to the handler and
-// reads the next one when that has been answered.
+// A session serves one connection: it reads a request, passes it to the handler
+// and reads the next one after the request is answered.
 
 #include "stand_ins/http_server.h"
 
@@ -23,6 +23,7 @@
 
 namespace detail {
 
+// One connection of the server.
 class ServerSession : public std::enable_shared_from_this<ServerSession> {
  public:
   ServerSession(HttpServer& server, asio::ip::tcp::socket socket)
@@ -67,8 +68,8 @@
     } else {
       message.chunked(true);
     }
-    // Sent with the first piece.
-    m_pending_head = Render(message);
+    // Sent together with the first part of the body.
+    m_pending_head = SerializeHead(message);
   }
 
   void WritePiece(const std::string& piece,
@@ -135,7 +136,7 @@
     return head;
   }
 
-  static std::string Render(http::response<http::empty_body>& message) {
+  static std::string SerializeHead(http::response<http::empty_body>& message) {
     std::string text = fmt::format("HTTP/1.1 {} {}\r\n", message.result_int(),
                                    std::string(message.reason()));
     for (const auto& field : message) {
@@ -175,14 +176,14 @@
   }
 
   void WriteBytes(std::string bytes, ServerExchange::WrittenCallback callback) {
-    auto kept = std::make_shared<std::string>(std::move(bytes));
+    auto buffer = std::make_shared<std::string>(std::move(bytes));
     asio::async_write(
-        m_socket, asio::buffer(*kept),
-        [self = shared_from_this(), kept, callback = std::move(callback)](
+        m_socket, asio::buffer(*buffer),
+        [self = shared_from_this(), buffer, callback = std::move(callback)](
             error_code error, std::size_t) { callback(!error); });
   }
 
-  // Empty once the session is closed or the server is gone.
+  // Null once the session is closed or the server is destroyed.
   HttpServer* m_server;
   asio::ip::tcp::socket m_socket;
   boost::beast::flat_buffer m_buffer;
--- a/source/stand_ins/http_server.h
+++ b/source/stand_ins/http_server.h
@@ -1,5 +1,5 @@
-// A small HTTP/1.1 server for the stand-in programs, whose handlers may answer
-// late, in pieces, or not at all.
+// A small HTTP/1.1 server for the test programs of this folder. Its handlers
+// may answer late, in parts or not at all.
 
 #ifndef BULRUSHMOUNT_STAND_INS_HTTP_SERVER_H_
 #define BULRUSHMOUNT_STAND_INS_HTTP_SERVER_H_
@@ -41,12 +41,14 @@
 class ServerSession;
 }  // namespace detail
 
-// One request and the way to answer it. Answer by `Respond`, or by `Begin`,
-// `Write`s each after the last one's callback, and `End`; or `Abort`. Dropped
-// without any of them, the connection stays open and silent.
+// One request and the means to answer it: either `Respond`; or `Begin`, any
+// number of `Write` calls, each after the callback of the previous one, and
+// `End`; or `Abort`. If none of them is called, the connection stays open
+// without an answer.
 class ServerExchange {
  public:
-  // Whether the piece was taken; false once the caller is gone.
+  // `is_written` is false if the write failed because the caller has closed the
+  // connection.
   using WrittenCallback = std::function<void(bool is_written)>;
 
   ServerExchange(std::shared_ptr<detail::ServerSession> session,
@@ -59,15 +61,15 @@
   std::string_view Header(std::string_view name) const;
 
   void Respond(ServerResponse response);
-  // Chunked where no length is given. `head.body` is not used.
+  // Uses chunked encoding if no length is given. `head.body` is ignored.
   void Begin(const ServerResponse& head,
              std::optional<std::uint64_t> content_length);
   void Write(const std::string& piece, WrittenCallback callback);
   void End();
-  // Calls `callback`, at most once, if the other side closes the connection
-  // before this request is answered.
+  // Calls `callback` at most once, if the caller closes the connection before
+  // this request is answered.
   void OnClosed(std::function<void()> callback);
-  // Closes the connection without an answer, or in the middle of one.
+  // Closes the connection without an answer or in the middle of one.
   void Abort();
 
  private:
@@ -75,12 +77,13 @@
   ServerRequest m_request;
 };
 
+// Listens on one address and passes each request to the handler.
 class HttpServer {
  public:
   using Handler = std::function<void(std::shared_ptr<ServerExchange>)>;
 
-  // Throws boost::system::system_error if it can't listen. Port 0 takes a free
-  // port.
+  // Throws boost::system::system_error if it cannot listen. Port 0 selects a
+  // free port.
   HttpServer(boost::asio::io_context& io,
              const Endpoint& listen,
              Handler handler);
@@ -92,8 +95,8 @@
   Endpoint endpoint() const;
   std::size_t connection_count() const { return m_sessions.size(); }
 
-  // Stops listening and closes idle connections; the others close after the
-  // request that they are busy with.
+  // Stops listening and closes idle connections. The others close after their
+  // current request.
   void Drain();
   // Closes all connections at once.
   void CloseAll();
--- a/source/stand_ins/ledger.cc
+++ b/source/stand_ins/ledger.cc
@@ -1,4 +1,4 @@
-// Part of `ledger.h`.
+// Writes ledger entries as JSON lines.
 
 #include "stand_ins/ledger.h"
 
@@ -42,7 +42,7 @@
   }
   m_file = ::open(file.c_str(), kOpenFlags, 0644);
   if (m_file < 0) {
-    throw std::runtime_error("cannot open the ledger " + file);
+    throw std::runtime_error("cannot open the ledger file " + file);
   }
 }
 
@@ -60,7 +60,7 @@
   }
   const ssize_t written = ::write(m_file, line.data(), line.size());
   if (written != static_cast<ssize_t>(line.size())) {
-    throw std::runtime_error("cannot write to the ledger");
+    throw std::runtime_error("cannot write to the ledger file");
   }
 }
 
--- a/source/stand_ins/ledger.h
+++ b/source/stand_ins/ledger.h
@@ -1,4 +1,5 @@
-// What a target really ran: the source of verdicts in process tests.
+// The record of the requests that a target executed. Process tests compare it
+// with the outcomes reported to callers.
 
 #ifndef BULRUSHMOUNT_STAND_INS_LEDGER_H_
 #define BULRUSHMOUNT_STAND_INS_LEDGER_H_
@@ -10,44 +11,46 @@
 namespace bulrushmount {
 
 struct LedgerEntry {
-  // "started" before a request runs, "finished" after its answer, "shed",
-  // "cancelled" where the connection closed before it ran or while /silent held
-  // it, or "probe" for /health and /load.
+  // "started" before a request runs, "finished" after its answer, "shed" if it
+  // is rejected, "cancelled" if the connection closes before the request runs
+  // or while /silent holds it, or "probe" for /health and /load.
   std::string_view event;
-  // Counts the requests of this process from 1; 0 for probes.
+  // Sequence number of the request in this process, from 1; 0 for probes.
   std::uint64_t number = 0;
   std::string request_id;
   std::string method;
   std::string path;
   std::string idempotency_key;
   std::uint64_t body_hash = 0;
-  // Of "finished": false if the connection is known to have failed before the
-  // whole answer was handed to it.
+  // For "finished": false if the connection is known to have failed before the
+  // whole answer was written to it.
   bool is_written = false;
 };
 
+// Keeps the entries in memory and optionally appends them to a file.
 class Ledger {
  public:
-  // `file` is appended to if not empty; throws std::runtime_error if it can't
-  // be opened.
+  // Appends to `file` if it is not empty. Throws std::runtime_error if the file
+  // cannot be opened.
   Ledger(std::uint64_t incarnation, const std::string& file);
   ~Ledger();
 
   Ledger(const Ledger&) = delete;
   Ledger& operator=(const Ledger&) = delete;
 
-  // In the file, by a write of its own, before returning: a request whose
-  // target is killed while it runs is on record as started.
+  // Writes the entry to the file, with one write call, before it returns. A
+  // request whose target is killed while it runs is therefore recorded as
+  // started.
   void Append(const LedgerEntry& entry);
 
-  // One JSON object a line, in order of time. `at_ns` is the machine's
-  // monotonic clock, which all processes of a machine share.
+  // One JSON object per line, in order of time. `at_ns` is the monotonic clock,
+  // which all processes of an instance share.
   const std::string& lines() const { return m_lines; }
 
  private:
   std::uint64_t m_incarnation;
   std::string m_lines;
-  // -1 without a file.
+  // File descriptor, -1 without a file.
   int m_file = -1;
 };
 
--- a/source/stand_ins/load_client.cc
+++ b/source/stand_ins/load_client.cc
@@ -1,4 +1,4 @@
-// An exchange is one request on one connection, with its time-out.
+// An exchange is one request on one connection with its own time-out.
 
 #include "stand_ins/load_client.h"
 
@@ -27,8 +27,8 @@
 constexpr std::uint64_t kMaxAnswerBytes = std::uint64_t{1} << 30;
 constexpr std::string_view kSizePath = "/size/";
 
-// Bytes of which no two requests of one load have the same, so that an answer
-// that belongs to another request shows.
+// Returns a body that is unique among the requests of one load, so that an
+// answer that belongs to another request has a different digest.
 std::string MakeBody(std::uint64_t seed, const LoadCall& call) {
   std::string body = fmt::format("{}-{}.", seed, call.number);
   body.resize(call.kind.body_size, '.');
@@ -78,7 +78,8 @@
         m_path(call.kind.path),
         m_timer(client.m_io) {
     const LoadOptions& options = client.m_options;
-    // Makes the digests of requests without a body differ.
+    // A unique query parameter makes the digests of requests without a body
+    // differ.
     m_path += call.kind.path.find('?') == std::string::npos ? '?' : '&';
     m_path += fmt::format("n={}-{}", options.seed, call.number);
     m_result.number = call.number;
@@ -160,7 +161,8 @@
         *m_socket, m_request,
         [self = shared_from_this()](error_code error, std::size_t) {
           if (error) {
-            // An entry may answer, and close, before it has the whole request.
+            // Reads on after a failed write: the entry may answer and close
+            // before it has received the whole request.
             self->m_write_failed = true;
           }
           self->Read();
@@ -176,14 +178,14 @@
         *m_socket, m_buffer, m_parser,
         [self = shared_from_this()](error_code error, std::size_t) {
           if (error) {
-            self->FinishBroken();
+            self->FinishIncomplete();
           } else {
-            self->FinishWhole();
+            self->FinishComplete();
           }
         });
   }
 
-  void FinishBroken() {
+  void FinishIncomplete() {
     const bool has_head = m_parser.is_header_done();
     m_result.status = has_head ? m_parser.get().result_int() : 0;
     Finish(CallerOutcome::kUnknown,
@@ -191,7 +193,7 @@
            nullptr);
   }
 
-  void FinishWhole() {
+  void FinishComplete() {
     const auto& answer = m_parser.get();
     m_result.status = answer.result_int();
     CallerOutcome outcome = CallerOutcome::kAnswered;
@@ -208,17 +210,17 @@
     if (outcome == CallerOutcome::kAnswered) {
       VerifyDigest();
     }
-    const bool keep =
+    const bool is_reusable =
         answer.keep_alive() && m_buffer.size() == 0 && !m_write_failed;
-    Finish(outcome, reason, keep ? std::move(m_socket) : nullptr);
+    Finish(outcome, reason, is_reusable ? std::move(m_socket) : nullptr);
   }
 
   void VerifyDigest() {
     const auto& answer = m_parser.get();
-    const bool is_header_right =
+    const bool is_header_valid =
         std::string(answer["X-Digest"]) == DigestText(m_digest);
     m_result.is_digest_mismatch =
-        !is_header_right || !IsAnswerTo(m_digest, m_path, answer.body());
+        !is_header_valid || !IsAnswerTo(m_digest, m_path, answer.body());
   }
 
   void Finish(CallerOutcome outcome,
@@ -252,7 +254,7 @@
   http::response_parser<http::string_body> m_parser;
   bool m_is_running = false;
   bool m_write_failed = false;
-  // Once set, no handler acts any more.
+  // Once set, completion handlers have no effect.
   bool m_is_done = false;
 };
 
@@ -282,7 +284,7 @@
   while (!m_waiting.empty() && m_running < m_options.max_connections) {
     const ExchangePointer next = std::move(m_waiting.front());
     m_waiting.pop_front();
-    // Timed out while it waited.
+    // The exchange timed out while it was queued.
     if (next->is_done()) {
       continue;
     }
--- a/source/stand_ins/load_client.h
+++ b/source/stand_ins/load_client.h
@@ -1,5 +1,5 @@
-// Sends the requests of a caller load over many keep-alive connections and
-// judges each answer.
+// Sends the requests of the load generator over keep-alive connections and
+// verifies each answer.
 
 #ifndef BULRUSHMOUNT_STAND_INS_LOAD_CLIENT_H_
 #define BULRUSHMOUNT_STAND_INS_LOAD_CLIENT_H_
@@ -24,6 +24,7 @@
 struct LoadCall {
   std::uint64_t number = 0;
   LoadKind kind;
+  // Scheduled send time, from which the latency is measured.
   TimePoint intended;
 };
 
@@ -31,6 +32,7 @@
 class LoadExchange;
 }  // namespace detail
 
+// Runs at most `max_connections` exchanges at once and queues the others.
 class LoadClient {
  public:
   using Callback = std::function<void(const CallResult& result)>;
@@ -40,7 +42,7 @@
              Callback callback)
       : m_io(io), m_options(options), m_callback(std::move(callback)) {}
 
-  // Calls back exactly once, at the latest when the time-out has passed.
+  // Calls the callback exactly once, at the latest when the time-out expires.
   void Send(const LoadCall& call);
   std::size_t open() const { return m_running + m_waiting.size(); }
 
@@ -57,14 +59,15 @@
   boost::asio::io_context& m_io;
   const LoadOptions& m_options;
   Callback m_callback;
-  // Each running exchange holds one connection; at most `max_connections`.
+  // Each running exchange uses one connection; at most `max_connections`.
   std::size_t m_running = 0;
   std::deque<ExchangePointer> m_waiting;
-  // By entry.
+  // Idle connections, indexed by entry.
   std::vector<IdleSockets> m_idle{m_options.entries.size()};
 };
 
-// Whether `body` is what a target answers to a request of this digest.
+// Whether `body` is the answer of a target stand-in to a request to `path` with
+// this digest.
 bool IsAnswerTo(std::uint64_t digest,
                 std::string_view path,
                 std::string_view body);
--- a/source/stand_ins/load_plan.cc
+++ b/source/stand_ins/load_plan.cc
@@ -1,4 +1,4 @@
-// Part of `load_plan.h`.
+// Parses request kinds and draws the arrival times.
 
 #include "stand_ins/load_plan.h"
 
@@ -41,7 +41,8 @@
     }
     const auto kind = ParseLoadKind(line);
     if (!kind) {
-      throw std::runtime_error(fmt::format("{}:{}: not a kind", path, number));
+      throw std::runtime_error(
+          fmt::format("{}:{}: invalid request kind", path, number));
     }
     kinds.push_back(*kind);
   }
--- a/source/stand_ins/load_plan.h
+++ b/source/stand_ins/load_plan.h
@@ -1,4 +1,5 @@
-// What the caller load sends: the kinds of requests and when they arrive.
+// The plan of the load generator: the kinds of requests and the schedule on
+// which they are sent.
 
 #ifndef BULRUSHMOUNT_STAND_INS_LOAD_PLAN_H_
 #define BULRUSHMOUNT_STAND_INS_LOAD_PLAN_H_
@@ -15,51 +16,54 @@
 
 namespace bulrushmount {
 
+// One kind of request and its share of the load.
 struct LoadKind {
   std::string name;
   std::string method;
   std::string path;
-  // Relative to the other kinds'.
+  // Share of this kind, relative to the weights of the other kinds.
   double weight = 1.0;
-  // Sends an `Idempotency-Key` of its own with each request.
+  // Whether each request has an `Idempotency-Key` of its own.
   bool has_key = false;
   std::size_t body_size = 0;
 };
 
-// "name method path weight [key] [body N]"; empty if it is not of that form.
+// Parses "name method path weight [key] [body N]", where N is the body size in
+// bytes. Returns nothing if `text` has another form.
 std::optional<LoadKind> ParseLoadKind(std::string_view text);
 
-// One kind a line; empty lines and those that start with # do not count.
-// Throws std::runtime_error that names the first line that is wrong.
+// Reads one kind per line, without empty lines and lines that start with #.
+// Throws std::runtime_error that names the first invalid line.
 std::vector<LoadKind> ReadMixFile(const std::string& path);
 
 struct LoadOptions {
   std::vector<Endpoint> entries;
   std::string workspace;
   std::string service;
-  // Requests a second, bursts not counted.
+  // Requests per second, bursts not counted.
   double rate = 100.0;
   Duration duration = std::chrono::seconds(10);
   std::vector<LoadKind> kinds;
   std::uint64_t seed = 1;
-  // `burst_size` requests at one moment, each `burst_interval`.
+  // Sends `burst_size` requests at once, every `burst_interval`.
   Duration burst_interval{};
   std::uint32_t burst_size = 0;
-  // A request without any answer by then counts as having no outcome.
+  // A request without an answer after this time counts as having no outcome.
   Duration timeout = std::chrono::seconds(30);
   std::size_t max_connections = 2000;
   // Sent as `Bulrushmount-Deadline-Ms`.
   std::optional<std::uint64_t> deadline_ms;
-  // Straight to targets.
+  // Whether the entries are targets in place of nodes.
   bool is_direct = false;
 };
 
-// Moments relative to the start, in order: Poisson arrivals joined by bursts.
+// Produces send times relative to the start, in order: Poisson arrivals merged
+// with periodic bursts.
 class ArrivalSchedule {
  public:
   explicit ArrivalSchedule(const LoadOptions& options);
 
-  // Empty once the duration is over.
+  // Returns nothing once the duration has passed.
   std::optional<Duration> Next();
 
  private:
--- a/source/stand_ins/load_summary.cc
+++ b/source/stand_ins/load_summary.cc
@@ -1,4 +1,4 @@
-// Part of `load_summary.h`.
+// Computes and formats the counts and percentiles.
 
 #include "stand_ins/load_summary.h"
 
@@ -10,7 +10,7 @@
 namespace bulrushmount {
 namespace {
 
-// From 10 microseconds to 1000 s, each bin 1 % wide.
+// Latency bins from 10 microseconds to 1000 s, each 1 % wide.
 constexpr unsigned kBinCount = 1852;
 constexpr double kLowestMs = 0.01;
 constexpr double kHighestMs = 1e6;
@@ -51,11 +51,11 @@
 }
 
 double LatencyRecorder::Percentile(double percent) const {
-  const double wanted = static_cast<double>(m_count) * percent / 100.0;
-  double seen = 0.0;
+  const double rank = static_cast<double>(m_count) * percent / 100.0;
+  double cumulative_count = 0.0;
   for (int bin = 0; m_count > 0 && bin < m_histogram.axis().size(); ++bin) {
-    seen += static_cast<double>(m_histogram.at(bin));
-    if (seen >= wanted) {
+    cumulative_count += static_cast<double>(m_histogram.at(bin));
+    if (cumulative_count >= rank) {
       return std::min(m_histogram.axis().bin(bin).upper(), m_max_ms);
     }
   }
@@ -91,7 +91,7 @@
   return m_counts[IndexOf(outcome)];
 }
 
-bool LoadSummary::IsSound() const {
+bool LoadSummary::HasPassed() const {
   return count(CallerOutcome::kNone) == 0 && m_digest_mismatches == 0;
 }
 
--- a/source/stand_ins/load_summary.h
+++ b/source/stand_ins/load_summary.h
@@ -1,4 +1,4 @@
-// Counts and latencies of a caller load.
+// Collects the outcomes and latencies of the load generator.
 
 #ifndef BULRUSHMOUNT_STAND_INS_LOAD_SUMMARY_H_
 #define BULRUSHMOUNT_STAND_INS_LOAD_SUMMARY_H_
@@ -16,11 +16,13 @@
 
 namespace bulrushmount {
 
+// Outcome of a request as the caller sees it.
 enum class CallerOutcome : std::uint8_t {
   kAnswered,
   kNotRun,
   kUnknown,
-  // No final outcome before the load's own time-out: left hanging.
+  // No final outcome before the load generator's own time-out, or an answer
+  // without one.
   kNone,
 };
 inline constexpr std::size_t kCallerOutcomeCount = 4;
@@ -32,21 +34,22 @@
   std::string kind;
   std::string idempotency_key;
   CallerOutcome outcome = CallerOutcome::kNone;
-  // `Bulrushmount-Reason`, or what the load itself saw.
+  // Value of `Bulrushmount-Reason`, or a reason of the load generator such as
+  // "caller-connection-lost".
   std::string reason;
   unsigned status = 0;
-  // From the intended send time to the whole answer.
+  // From the scheduled send time to the end of the answer.
   Duration latency{};
   bool is_digest_mismatch = false;
 };
 
-// Latencies on a logarithmic axis: percentiles are exact to 1 %.
+// Histogram of latencies with logarithmic bins; percentiles are exact to 1 %.
 class LatencyRecorder {
  public:
   LatencyRecorder();
 
   void Add(Duration latency);
-  // In milliseconds, the upper edge of the bin; 0 if nothing was added.
+  // Returns the upper edge of the bin in milliseconds, 0 if nothing was added.
   double Percentile(double percent) const;
   double max_ms() const { return m_max_ms; }
   boost::json::object ToJson() const;
@@ -62,16 +65,18 @@
   double m_max_ms = 0.0;
 };
 
+// Sums up all results of one load, in total and by request kind.
 class LoadSummary {
  public:
   void Add(const CallResult& result);
 
   std::uint64_t count(CallerOutcome outcome) const;
   std::uint64_t digest_mismatches() const { return m_digest_mismatches; }
-  // Every request had a final outcome and no answer belonged to another one.
-  bool IsSound() const;
+  // Whether every request had a final outcome and no answer belonged to another
+  // request.
+  bool HasPassed() const;
 
-  // key=value, one a line.
+  // Formats as key=value, one per line.
   std::string ToLines() const;
   boost::json::object ToJson() const;
 
--- a/source/stand_ins/platform_service.cc
+++ b/source/stand_ins/platform_service.cc
@@ -1,4 +1,5 @@
-// Dispatches by path; each fault is met at one place.
+// Dispatches requests by path and applies the injected faults: some before the
+// request takes effect, the others to its answer.
 
 #include "stand_ins/platform_service.h"
 
@@ -105,10 +106,10 @@
 void PlatformService::HandleTable(const ExchangePointer& exchange) {
   const bool is_write = exchange->path() == kTableTransactPath;
   ++(is_write ? m_counters.writes : m_counters.reads);
-  if (MeetEarlyFault(exchange)) {
+  if (ApplyFaultBeforeEffect(exchange)) {
     return;
   }
-  if (is_write && TakeConflict()) {
+  if (is_write && ConsumeConflict()) {
     Answer(exchange,
            JsonResponse(200,
                         EncodeTableReply({TableStatus::kConditionFailed, {}})));
@@ -125,7 +126,7 @@
         return JsonResponse(400,
                             EncodeTableReply({TableStatus::kUnavailable, {}}));
       });
-  if (is_write && TakeLostWrite()) {
+  if (is_write && ConsumeLostWriteAnswer()) {
     exchange->Abort();
     return;
   }
@@ -136,7 +137,7 @@
   const std::string key(exchange->path().substr(kObjectPrefix.size()));
   const bool is_put = exchange->request().method() == http::verb::put;
   ++(is_put ? m_counters.writes : m_counters.reads);
-  if (MeetEarlyFault(exchange)) {
+  if (ApplyFaultBeforeEffect(exchange)) {
     return;
   }
   if (!is_put) {
@@ -155,7 +156,7 @@
   Answer(exchange, {is_written ? 204U : 412U, {}, {}});
 }
 
-bool PlatformService::MeetEarlyFault(const ExchangePointer& exchange) {
+bool PlatformService::ApplyFaultBeforeEffect(const ExchangePointer& exchange) {
   if (m_faults.is_silent) {
     return true;
   }
@@ -185,7 +186,7 @@
           const boost::system::error_code&) { exchange->Respond(response); });
 }
 
-bool PlatformService::TakeConflict() {
+bool PlatformService::ConsumeConflict() {
   if (m_faults.conflict_next == 0) {
     return false;
   }
@@ -193,7 +194,7 @@
   return true;
 }
 
-bool PlatformService::TakeLostWrite() {
+bool PlatformService::ConsumeLostWriteAnswer() {
   if (m_faults.lose_write_answers == 0) {
     return false;
   }
--- a/source/stand_ins/platform_service.h
+++ b/source/stand_ins/platform_service.h
@@ -1,5 +1,5 @@
-// What the platform stand-in does: a table and an object store over HTTP, with
-// faults that a test switches on.
+// In-memory table and object store over HTTP for tests, with faults that a test
+// injects.
 
 #ifndef BULRUSHMOUNT_STAND_INS_PLATFORM_SERVICE_H_
 #define BULRUSHMOUNT_STAND_INS_PLATFORM_SERVICE_H_
@@ -17,29 +17,32 @@
 
 namespace bulrushmount {
 
-// PUT /control/faults sets those that its JSON body names.
+// Injected faults. PUT /control/faults sets those named in its JSON body.
 struct PlatformFaults {
-  // Answers 503 and does nothing. For refused connections end the process.
+  // Requests have no effect and are answered with 503. To have connections
+  // refused, a test ends the process.
   bool is_down = false;
-  // Takes requests, does nothing and never answers.
+  // Requests are accepted, have no effect and are never answered.
   bool is_silent = false;
-  // Between taking effect and the answer.
+  // Delay between the effect of a request and its answer.
   Duration delay{};
-  // The next so many requests take effect, and their connection closes without
-  // an answer.
+  // Number of next requests that take effect and whose connection is closed
+  // without an answer.
   std::uint64_t lose_answers = 0;
-  // The same, of transactions only.
+  // As `lose_answers`, but counts and affects only table transactions.
   std::uint64_t lose_write_answers = 0;
-  // The next so many transactions answer "condition-failed" without effect.
+  // Number of next transactions that are answered with "condition-failed" and
+  // have no effect.
   std::uint64_t conflict_next = 0;
 };
 
-// Requests that reached the stand-in, whatever their fault.
+// Requests received, including those that met a fault.
 struct PlatformCounters {
   std::uint64_t reads = 0;
   std::uint64_t writes = 0;
 };
 
+// The service behind `platform_stand_in`.
 class PlatformService {
  public:
   PlatformService(boost::asio::io_context& io, const Endpoint& listen);
@@ -57,12 +60,14 @@
   void HandleControl(const ExchangePointer& exchange);
   void HandleTable(const ExchangePointer& exchange);
   void HandleObject(const ExchangePointer& exchange);
-  // The fault that stops a request before its effect. True if there is one.
-  bool MeetEarlyFault(const ExchangePointer& exchange);
-  // After the effect: late, lost or at once.
+  // Applies a fault that prevents the effect of the request. Returns whether
+  // there was one.
+  bool ApplyFaultBeforeEffect(const ExchangePointer& exchange);
+  // Sends the answer of a request that took effect: at once, delayed, or not at
+  // all if it is to be lost.
   void Answer(const ExchangePointer& exchange, ServerResponse response);
-  bool TakeConflict();
-  bool TakeLostWrite();
+  bool ConsumeConflict();
+  bool ConsumeLostWriteAnswer();
 
   boost::asio::io_context& m_io;
   InMemoryTable m_table;
--- a/source/stand_ins/platform_stand_in.cc
+++ b/source/stand_ins/platform_stand_in.cc
@@ -1,5 +1,5 @@
-// platform_stand_in: the platform's table and object store for tests, in
-// memory.
+// platform_stand_in: serves the platform's table and object store from memory,
+// for tests.
 
 #include <string>
 
@@ -17,7 +17,8 @@
 cxxopts::Options MakeOptions() {
   cxxopts::Options options("platform_stand_in",
                            "The platform's table and object store, in memory");
-  options.add_options()("listen", "IP:PORT", cxxopts::value<std::string>());
+  options.add_options()("listen", "Address IP:PORT to listen on",
+                        cxxopts::value<std::string>());
   return options;
 }
 
@@ -25,7 +26,8 @@
   const Endpoint listen = RequireEndpoint(parsed["listen"].as<std::string>());
   boost::asio::io_context io;
   const PlatformService service(io, listen);
-  // Logged once the signals are caught: who reads it may end the process.
+  // Logged after the signal handlers are installed, because a test may send
+  // SIGTERM as soon as it reads this line.
   boost::asio::post(io, [&listen] {
     LogLine(LogLevel::kInfo, "platform.listening")
         .Add("endpoint", ToString(listen));
--- a/source/stand_ins/program.cc
+++ b/source/stand_ins/program.cc
@@ -1,4 +1,4 @@
-// Part of `program.h`.
+// Common main function, option parsing and shutdown of the test programs.
 
 #include "stand_ins/program.h"
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr int kExitFault = 2;
+constexpr int kExitError = 2;
 
 }  // namespace
 
@@ -22,7 +22,7 @@
                char** argv,
                const std::function<int(const cxxopts::ParseResult&)>& run) {
   try {
-    options.add_options()("help", "Print this");
+    options.add_options()("help", "Print this help");
     const cxxopts::ParseResult parsed = options.parse(argc, argv);
     if (parsed.count("help") > 0) {
       std::cout << options.help();
@@ -31,14 +31,14 @@
     return run(parsed);
   } catch (const std::exception& error) {
     std::cerr << options.program() << ": " << error.what() << "\n";
-    return kExitFault;
+    return kExitError;
   }
 }
 
 Endpoint RequireEndpoint(const std::string& text) {
   const auto endpoint = ParseEndpoint(text);
   if (!endpoint) {
-    throw std::invalid_argument("not IP:PORT: " + text);
+    throw std::invalid_argument("expected IP:PORT, found " + text);
   }
   return *endpoint;
 }
--- a/source/stand_ins/program.h
+++ b/source/stand_ins/program.h
@@ -1,4 +1,4 @@
-// What the programs of this folder share: their command line and how they end.
+// Common command line handling and shutdown of the programs in this folder.
 
 #ifndef BULRUSHMOUNT_STAND_INS_PROGRAM_H_
 #define BULRUSHMOUNT_STAND_INS_PROGRAM_H_
@@ -13,9 +13,9 @@
 
 namespace bulrushmount {
 
-// Parses the command line and calls `run`, whose result is the exit status;
-// prints the help instead if asked. An exception, of wrong options as well, is
-// printed and ends the program with status 2.
+// Parses the command line and calls `run`, whose result is the exit status.
+// With `--help` it prints the help and returns 0. An exception, also one caused
+// by invalid options, is printed and gives the exit status 2.
 int RunProgram(cxxopts::Options options,
                int argc,
                char** argv,
@@ -24,7 +24,7 @@
 // Throws std::invalid_argument if `text` is not IP:PORT.
 Endpoint RequireEndpoint(const std::string& text);
 
-// Serves until SIGTERM or SIGINT.
+// Runs the event loop until SIGTERM or SIGINT.
 void RunUntilTerminated(boost::asio::io_context& io);
 
 }  // namespace bulrushmount
--- a/source/stand_ins/request_digest.cc
+++ b/source/stand_ins/request_digest.cc
@@ -1,4 +1,4 @@
-// Part of `request_digest.h`.
+// Computes digests and pseudo-random bodies with xxHash64.
 
 #include "stand_ins/request_digest.h"
 
--- a/source/stand_ins/request_digest.h
+++ b/source/stand_ins/request_digest.h
@@ -1,4 +1,4 @@
-// What ties an answer to the request that it belongs to: targets put it into
+// Digest that ties an answer to its request: targets include it in their
 // answers and callers verify it.
 
 #ifndef BULRUSHMOUNT_STAND_INS_REQUEST_DIGEST_H_
--- a/source/stand_ins/target_service.cc
+++ b/source/stand_ins/target_service.cc
@@ -1,5 +1,5 @@
-// Requests wait for a slot, take their service time, and answer as their path
-// says.
+// Each request waits for a slot, takes its service time and is answered as its
+// path specifies.
 
 #include "stand_ins/target_service.h"
 
@@ -23,12 +23,14 @@
 
 constexpr std::string_view kPoison = "POISON";
 constexpr std::uint64_t kPieceSize = std::uint64_t{64} * 1024;
-// Of the log-normal service time: 1 in 100 takes about five times the median.
+// Sigma of the log-normal service time, at which 1 request in 100 takes about
+// five times the median.
 constexpr double kLogNormalSigma = 0.7;
-// Makes its mean 1.
+// Makes the mean of the distribution 1.
 constexpr double kLogNormalMu = -kLogNormalSigma * kLogNormalSigma / 2;
 
-// The `index`th number in "/word/number/number"; 0 if there is none.
+// Returns the number at `index` in a path "/word/number/number", 0 if there is
+// none.
 std::uint64_t NumberInPath(std::string_view path, int index) {
   path = path.substr(0, path.find('?'));
   for (int skipped = 0; skipped < index + 2; ++skipped) {
@@ -81,8 +83,8 @@
   ReadDouble(object, "slow_factor", control.slow_factor);
   ReadDouble(object, "shed_fraction", control.shed_fraction);
   ReadBool(object, "fail_fast", control.is_failing_fast);
-  ReadBool(object, "lie_health", control.is_health_lying);
-  ReadBool(object, "lie_load", control.is_load_lying);
+  ReadBool(object, "lie_health", control.is_health_forced_ok);
+  ReadBool(object, "lie_load", control.is_load_forced_zero);
   ReadBool(object, "drain", control.is_draining);
   return true;
 }
@@ -99,7 +101,7 @@
       }) {}
 
 void TargetService::Handle(const ExchangePointer& exchange) {
-  if (HandleOwnPath(exchange)) {
+  if (HandleManagementPath(exchange)) {
     return;
   }
   m_last_activity = Now();
@@ -119,7 +121,7 @@
   StartWaiting();
 }
 
-bool TargetService::HandleOwnPath(const ExchangePointer& exchange) {
+bool TargetService::HandleManagementPath(const ExchangePointer& exchange) {
   const std::string_view path = exchange->path();
   if (path == "/health" || path == "/load") {
     HandleProbe(exchange);
@@ -145,16 +147,18 @@
   }
   const bool is_available =
       !m_control.is_draining && !m_control.is_failing_fast;
-  const bool says_well = is_available || m_control.is_health_lying;
-  exchange->Respond({says_well ? 200U : 503U, {}, says_well ? "ok\n" : "no\n"});
+  const bool reports_healthy = is_available || m_control.is_health_forced_ok;
+  exchange->Respond(
+      {reports_healthy ? 200U : 503U, {}, reports_healthy ? "ok\n" : "no\n"});
 }
 
 ServerResponse TargetService::LoadResponse() const {
-  const std::uint32_t told = m_control.is_load_lying ? 0 : in_flight();
-  return {
-      200,
-      {{"Content-Type", "application/json"}},
-      fmt::format(R"({{"in_flight":{},"slots":{}}})", told, m_options.slots)};
+  const std::uint32_t reported_in_flight =
+      m_control.is_load_forced_zero ? 0 : in_flight();
+  return {200,
+          {{"Content-Type", "application/json"}},
+          fmt::format(R"({{"in_flight":{},"slots":{}}})", reported_in_flight,
+                      m_options.slots)};
 }
 
 void TargetService::HandleControl(const ExchangePointer& exchange) {
@@ -187,7 +191,8 @@
   }
 }
 
-// A request that runs goes on to its end; its answer finds nobody.
+// Has no effect on a running request: it continues to its end, and its answer
+// cannot be delivered.
 void TargetService::Cancel(const WorkPointer& work) {
   const auto waiting = std::find(m_waiting.begin(), m_waiting.end(), work);
   const bool is_waiting = waiting != m_waiting.end();
@@ -213,7 +218,7 @@
     std::abort();
   }
   if (IsPath(work->path, "/silent")) {
-    // Keeps its slot until its connection closes.
+    // Occupies its slot until its connection closes.
     work->is_silent = true;
     return;
   }
@@ -222,7 +227,7 @@
     Finish(work, true);
     return;
   }
-  After(DrawServiceTime(*work), [this, work] { Answer(work); });
+  RunAfter(DrawServiceTime(*work), [this, work] { Answer(work); });
 }
 
 void TargetService::Answer(const WorkPointer& work) {
@@ -281,7 +286,7 @@
       Finish(work, false);
       return;
     }
-    After(pause, [this, work, pieces_left, pause] {
+    RunAfter(pause, [this, work, pieces_left, pause] {
       AnswerTrickle(work, pieces_left - 1, pause);
     });
   });
@@ -333,7 +338,7 @@
   return FromSeconds(ToSeconds(m_options.service_time) * factor);
 }
 
-void TargetService::After(Duration delay, std::function<void()> action) {
+void TargetService::RunAfter(Duration delay, std::function<void()> action) {
   auto timer = std::make_shared<boost::asio::steady_timer>(m_io);
   timer->expires_after(delay);
   timer->async_wait([timer, action = std::move(action)](
--- a/source/stand_ins/target_service.h
+++ b/source/stand_ins/target_service.h
@@ -1,5 +1,6 @@
-// What the target stand-in does: runs requests on a fixed number of slots,
-// writes each into its ledger, and misbehaves as told.
+// The HTTP service of `target_stand_in`: runs requests on a fixed number of
+// slots, records each in its ledger and injects the faults that a test requests
+// by path, body or /control.
 
 #ifndef BULRUSHMOUNT_STAND_INS_TARGET_SERVICE_H_
 #define BULRUSHMOUNT_STAND_INS_TARGET_SERVICE_H_
@@ -32,24 +33,27 @@
   ServiceTimeShape shape = ServiceTimeShape::kExponential;
   std::uint64_t incarnation = 0;
   std::uint64_t seed = 1;
-  // Appended to if not empty.
+  // File to append the ledger to; none if empty.
   std::string ledger_file;
 };
 
-// PUT /control sets those that its JSON body names.
+// Settings that a test changes at run time. PUT /control sets those named in
+// its JSON body.
 struct TargetControl {
   double slow_factor = 1.0;
-  // Answers 500 at once.
+  // Requests are answered with 500 at once.
   bool is_failing_fast = false;
-  // /health says 200 whatever is true.
-  bool is_health_lying = false;
-  // /load says that nothing is in flight.
-  bool is_load_lying = false;
+  // /health answers 200 even while draining or failing.
+  bool is_health_forced_ok = false;
+  // /load reports 0 requests in flight.
+  bool is_load_forced_zero = false;
+  // Fraction of requests that are rejected as shed.
   double shed_fraction = 0.0;
-  // Withdraws from its node and goes on serving what comes.
+  // The target is withdrawn from its node but continues to serve requests.
   bool is_draining = false;
 };
 
+// Serves the requests of one target.
 class TargetService {
  public:
   TargetService(boost::asio::io_context& io, TargetOptions options);
@@ -58,10 +62,12 @@
   Endpoint endpoint() const { return m_server.endpoint(); }
   HttpServer& server() { return m_server; }
   std::uint32_t in_flight() const { return m_running + m_waiting.size(); }
-  // When the last request arrived or finished; for the end of a drain.
+  // Time at which the last request arrived or finished; decides when a drain is
+  // complete.
   TimePoint last_activity() const { return m_last_activity; }
 
  private:
+  // One request that waits or runs.
   struct Work {
     std::shared_ptr<ServerExchange> exchange;
     std::string path;
@@ -73,7 +79,7 @@
   using WorkPointer = std::shared_ptr<Work>;
 
   void Handle(const ExchangePointer& exchange);
-  bool HandleOwnPath(const ExchangePointer& exchange);
+  bool HandleManagementPath(const ExchangePointer& exchange);
   void HandleProbe(const ExchangePointer& exchange);
   void HandleControl(const ExchangePointer& exchange);
   ServerResponse LoadResponse() const;
@@ -91,12 +97,12 @@
                      std::uint64_t pieces_left,
                      Duration pause);
   void Finish(const WorkPointer& work, bool is_written);
-  // The answer that carries the digest.
+  // Builds the answer that contains the request digest.
   ServerResponse DigestResponse(const Work& work, unsigned status) const;
 
   void Record(std::string_view event, const Work& work, bool is_written);
   Duration DrawServiceTime(const Work& work);
-  void After(Duration delay, std::function<void()> action);
+  void RunAfter(Duration delay, std::function<void()> action);
 
   boost::asio::io_context& m_io;
   TargetOptions m_options;
@@ -104,7 +110,7 @@
   Ledger m_ledger;
   std::mt19937_64 m_random;
   std::uint64_t m_last_number = 0;
-  // At most `slots`.
+  // Number of running requests, at most `slots`.
   std::uint32_t m_running = 0;
   std::deque<WorkPointer> m_waiting;
   TimePoint m_last_activity = Now();
--- a/source/stand_ins/target_stand_in.cc
+++ b/source/stand_ins/target_stand_in.cc
@@ -1,5 +1,5 @@
 // target_stand_in: a target for tests that announces itself to a node and
-// records what it runs.
+// records the requests that it executes.
 
 #include <chrono>
 #include <csignal>
@@ -24,27 +24,30 @@
 cxxopts::Options MakeOptions() {
   cxxopts::Options options("target_stand_in", "A target for tests");
   auto add = options.add_options();
-  add("listen", "IP:PORT", cxxopts::value<std::string>());
-  add("announce", "Target address IP:PORT of the node beside it; none: alone",
+  add("listen", "Address IP:PORT to listen on", cxxopts::value<std::string>());
+  add("announce",
+      "Address IP:PORT on which the node takes announcements; empty: none",
       cxxopts::value<std::string>()->default_value(""));
-  add("service", "Name",
+  add("service", "Service name",
       cxxopts::value<std::string>()->default_value("session-desk"));
-  add("slots", "Requests at once",
+  add("slots", "Number of concurrent requests",
       cxxopts::value<std::uint32_t>()->default_value("12"));
   add("connections", "Connections announced",
       cxxopts::value<std::uint32_t>()->default_value("220"));
-  add("service-time-ms", "Mean", cxxopts::value<double>()->default_value("5"));
-  add("shape", "constant, exponential or log-normal",
+  add("service-time-ms", "Mean service time in milliseconds",
+      cxxopts::value<double>()->default_value("5"));
+  add("shape",
+      "Distribution of service times: constant, exponential or log-normal",
       cxxopts::value<std::string>()->default_value("exponential"));
   add("zone", "Availability zone announced",
       cxxopts::value<std::string>()->default_value(""));
   add("ledger", "File to append the ledger to",
       cxxopts::value<std::string>()->default_value(""));
-  add("incarnation", "Default: from the clock",
+  add("incarnation", "Incarnation number; 0: taken from the clock",
       cxxopts::value<std::uint64_t>()->default_value("0"));
-  add("seed", "Of service times and shedding",
+  add("seed", "Random seed of service times and shedding",
       cxxopts::value<std::uint64_t>()->default_value("1"));
-  add("linger-ms", "Quiet time after a withdrawal before it ends",
+  add("linger-ms", "Time without requests after which a withdrawn target exits",
       cxxopts::value<std::uint32_t>()->default_value("500"));
   return options;
 }
@@ -59,10 +62,11 @@
   if (text == "log-normal") {
     return ServiceTimeShape::kLogNormal;
   }
-  throw std::invalid_argument("unknown shape: " + text);
+  throw std::invalid_argument(
+      "--shape must be constant, exponential or log-normal, found " + text);
 }
 
-// Later processes at one address get higher numbers.
+// Gives a later process at the same address a higher incarnation.
 std::uint64_t IncarnationFromClock() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   return std::chrono::duration_cast<std::chrono::microseconds>(now).count();
@@ -95,7 +99,7 @@
           parsed["zone"].as<std::string>()};
 }
 
-// Joins the service to its announcer, from the start to the end of a drain.
+// Runs the service and its announcer from start to the end of the drain.
 class TargetProcess {
  public:
   TargetProcess(boost::asio::io_context& io, const cxxopts::ParseResult& parsed)
@@ -122,7 +126,8 @@
  private:
   static constexpr auto kPollInterval = std::chrono::milliseconds(20);
 
-  // A drain by control withdraws and goes on.
+  // Withdraws or announces the target when /control changes `is_draining`. The
+  // process continues to run.
   void WatchControl() {
     if (m_is_leaving) {
       return;
@@ -144,24 +149,24 @@
     LogLine(LogLevel::kInfo, "target.leaving")
         .Add("in_flight", m_service.in_flight());
     if (!m_announcer) {
-      EndWhenQuiet();
+      ExitWhenIdle();
       return;
     }
-    m_announcer->Withdraw([this] { EndWhenQuiet(); });
+    m_announcer->Withdraw([this] { ExitWhenIdle(); });
   }
 
-  // Requests that the node sent before it heard of the withdrawal still come;
-  // to close at once would leave their outcome unknown.
-  // Once drained the io_context runs out of work and the process ends.
-  void EndWhenQuiet() {
-    const bool is_quiet = m_service.in_flight() == 0 &&
-                          Now() - m_service.last_activity() > m_linger;
-    if (is_quiet) {
+  // Requests that the node sent before it received the withdrawal may still
+  // arrive; closing at once would leave their outcome unknown. Once the server
+  // is drained, the io_context has no work left and the process exits.
+  void ExitWhenIdle() {
+    const bool is_idle = m_service.in_flight() == 0 &&
+                         Now() - m_service.last_activity() > m_linger;
+    if (is_idle) {
       m_service.server().Drain();
       m_timer.cancel();
       return;
     }
-    Poll([this] { EndWhenQuiet(); });
+    Poll([this] { ExitWhenIdle(); });
   }
 
   void Poll(std::function<void()> action) {
@@ -181,8 +186,8 @@
   boost::asio::steady_timer m_timer;
   boost::asio::signal_set m_signals;
   bool m_was_draining = false;
-  // Set by SIGTERM. The watch on the control ends with it; otherwise its timer
-  // would keep the process alive for ever.
+  // Set by SIGTERM or SIGINT. Ends WatchControl, whose timer would otherwise
+  // keep the process running for ever.
   bool m_is_leaving = false;
 };
 
