--- a/source/examples/embed_claims.cc
+++ b/source/examples/embed_claims.cc
@@ -1,7 +1,8 @@
-// Embedding one part: the idempotency claims in a program of one's own, which
-// brings its table, its clock and its random source. Two claim books stand for
-// two processes that get the same booking; one of them runs it, and the other
-// replays the answer. Exits with 1 if that is not so.
+// Example: embeds the idempotency claims in another program, which supplies the
+// table, the clock and the random source. Two claim books stand for two
+// processes that receive the same booking: one executes it, the other is
+// refused meanwhile and replays the stored answer later. Exits with 1 if this
+// fails.
 
 #include <chrono>
 #include <cstdlib>
@@ -18,8 +19,8 @@
 namespace bulrushmount {
 namespace {
 
-// A table that replies when it is told to: Submit must never call back before
-// it returns.
+// A table that queues requests and replies to them in ReplyToAll, because
+// Submit must not call back before it returns.
 class QueuedTable : public TableService {
  public:
   void Submit(TableRequest request, Callback callback) override {
@@ -44,30 +45,32 @@
   std::deque<Waiting> m_waiting;
 };
 
-struct Claimed {
+// A requested claim and its result, empty while there is none.
+struct ClaimAttempt {
   ClaimId claim;
   std::optional<ClaimResult> result;
 };
 
-// Asks for the claim and waits for the answer. A real program returns to its
-// event loop in between, and calls OnTimer at NextWakeup.
-Claimed Acquire(ClaimBook& book, QueuedTable& table, TimePoint now) {
+// Requests the claim and delivers the table's replies. A real program returns
+// to its event loop in between and calls OnTimer at the time given by
+// NextWakeup.
+ClaimAttempt Acquire(ClaimBook& book, QueuedTable& table, TimePoint now) {
   ClaimRequest request;
   request.workspace = WorkspaceName("studio");
   request.key = IdempotencyKey("booking-1");
   request.fingerprint = Fingerprint(42);
   request.deadline = now + std::chrono::seconds(2);
   request.retention = std::chrono::hours(24);
-  Claimed claimed;
-  claimed.claim = book.Acquire(
-      now, request, [&claimed](TimePoint, const ClaimResult& result) {
-        claimed.result = result;
+  ClaimAttempt attempt;
+  attempt.claim = book.Acquire(
+      now, request, [&attempt](TimePoint, const ClaimResult& result) {
+        attempt.result = result;
       });
   table.ReplyToAll(now);
-  return claimed;
+  return attempt;
 }
 
-bool RunsOnce() {
+bool ExecutesExactlyOnce() {
   TimePoint now = Now();
   const WallAnchor wall{now, std::chrono::system_clock::now()};
   SeededRandomSource random(SystemSeed());
@@ -75,33 +78,34 @@
   ClaimBook first(ClaimSettings(), table, random, wall);
   ClaimBook second(ClaimSettings(), table, random, wall);
 
-  const Claimed granted = Acquire(first, table, now);
-  const bool may_run = granted.result &&
-                       granted.result->status == ClaimStatus::kGranted &&
-                       first.CheckBeforeDispatch(now, granted.claim);
-  const Claimed meanwhile = Acquire(second, table, now);
-  const bool is_refused =
-      meanwhile.result && meanwhile.result->status == ClaimStatus::kInProgress;
+  const ClaimAttempt granted = Acquire(first, table, now);
+  const bool may_execute = granted.result &&
+                           granted.result->status == ClaimStatus::kGranted &&
+                           first.CheckBeforeDispatch(now, granted.claim);
+  const ClaimAttempt concurrent = Acquire(second, table, now);
+  const bool is_refused = concurrent.result &&
+                          concurrent.result->status == ClaimStatus::kInProgress;
 
-  // The booking runs here, and its answer is kept for repeats.
+  // The booking would be executed here. Its answer is stored for repeated
+  // requests.
   first.Finish(now, granted.claim, StoredAnswer{200, "text/plain", "booth 2"});
   now = first.NextWakeup();
   first.OnTimer(now);
   table.ReplyToAll(now);
 
-  const Claimed repeat = Acquire(second, table, now);
-  const bool is_replayed = repeat.result &&
-                           repeat.result->status == ClaimStatus::kFinished &&
-                           repeat.result->answer.body == "booth 2";
-  std::cout << "granted once: " << may_run
+  const ClaimAttempt repeated = Acquire(second, table, now);
+  const bool is_replayed = repeated.result &&
+                           repeated.result->status == ClaimStatus::kFinished &&
+                           repeated.result->answer.body == "booth 2";
+  std::cout << "granted once: " << may_execute
             << "\nrefused meanwhile: " << is_refused
             << "\nreplayed after: " << is_replayed << "\n";
-  return may_run && is_refused && is_replayed;
+  return may_execute && is_refused && is_replayed;
 }
 
 }  // namespace
 }  // namespace bulrushmount
 
 int main() {
-  return bulrushmount::RunsOnce() ? EXIT_SUCCESS : EXIT_FAILURE;
+  return bulrushmount::ExecutesExactlyOnce() ? EXIT_SUCCESS : EXIT_FAILURE;
 }
