--- a/source/fuzz/announcement_fuzz.cc
+++ b/source/fuzz/announcement_fuzz.cc
@@ -1,4 +1,4 @@
-// A target's announcement, as JSON.
+// Fuzzes the parser of a target's announcement in JSON.
 
 #include "fuzz/fuzz_input.h"
 
@@ -9,6 +9,7 @@
   using namespace bulrushmount;
   std::string fault;
   const auto read = ParseAnnouncement(ToString(data, size), "127.0.0.1", fault);
-  Require(read.has_value() == fault.empty(), "a refusal names its fault");
+  Require(read.has_value() == fault.empty(),
+          "an announcement is parsed if and only if no fault is reported");
   return 0;
 }
--- a/source/fuzz/burn_report_fuzz.cc
+++ b/source/fuzz/burn_report_fuzz.cc
@@ -1,4 +1,5 @@
-// A burn report from another node, as JSON.
+// Fuzzes the parser of burn reports from other nodes in JSON, and the formats
+// into which a parsed report is converted.
 
 #include "fuzz/fuzz_input.h"
 
@@ -16,8 +17,9 @@
         ToText(report);
         ToSvg(report);
         const std::string json = ToJson(report);
-        BOOST_LEAF_AUTO(again, BurnReportFromJson(json));
-        Require(ToJson(again) == json, "a report reads back as written");
+        BOOST_LEAF_AUTO(decoded_again, BurnReportFromJson(json));
+        Require(ToJson(decoded_again) == json,
+                "a report is unchanged by writing and parsing it");
         return {};
       },
       [](const BurnReportFault&) {}, [] {});
--- a/source/fuzz/caller_connection_fuzz.cc
+++ b/source/fuzz/caller_connection_fuzz.cc
@@ -1,4 +1,4 @@
-// Bytes of a caller through a whole connection: the check of the head, the
+// Fuzzes a caller connection as a whole: the check of the request head, the
 // parser, bodies and pipelined requests. Each call is answered at once.
 
 #include "fuzz/fuzz_input.h"
@@ -17,16 +17,17 @@
 namespace bulrushmount {
 namespace {
 
+// Checks the head of each call and answers it at once.
 class AnsweringAcceptor : public CallAcceptor {
  public:
   void OnCall(std::shared_ptr<CallerExchange> exchange) override {
     const CallHead& head = exchange->head();
     Require(!head.method.empty() && head.target.starts_with('/'),
-            "a call has a method and a path");
+            "a call has a method and a target that starts with /");
     for (const HeaderField& field : exchange->headers()) {
       Require(field.name.find_first_of(" \t\r\n:") == std::string::npos &&
                   field.value.find_first_of("\r\n") == std::string::npos,
-              "a field stays one field");
+              "a header field contains no separator of fields");
     }
     AnswerHead answer;
     answer.status = 200;
@@ -47,11 +48,11 @@
   int pair[2] = {-1, -1};
   if (::socketpair(AF_UNIX, SOCK_STREAM, 0, pair) != 0)
     return 0;
-  // Small enough for the socket's buffer, else this would block.
+  // In bytes. Larger input would exceed the buffer of the socket and block.
   const std::size_t sent = std::min<std::size_t>(size, 65536);
   Require(
       ::send(pair[0], data, sent, MSG_NOSIGNAL) == static_cast<ssize_t>(sent),
-      "the socket takes the bytes");
+      "the socket accepts all bytes of the input");
   ::shutdown(pair[0], SHUT_WR);
   SeededRandomSource random(1);
   AnsweringAcceptor acceptor;
@@ -69,7 +70,8 @@
     weak = connection;
   }
   context.run_for(std::chrono::seconds(20));
-  Require(weak.expired(), "a connection whose caller has ended is gone");
+  Require(weak.expired(),
+          "a connection is destroyed after its caller has closed it");
   ::close(pair[0]);
   return 0;
 }
--- a/source/fuzz/contract_fuzz.cc
+++ b/source/fuzz/contract_fuzz.cc
@@ -1,4 +1,4 @@
-// A contract, as YAML.
+// Fuzzes the parser of contracts in YAML.
 
 #include "fuzz/fuzz_input.h"
 
@@ -9,12 +9,13 @@
   using namespace bulrushmount;
   const auto result = TryParseContract(ToString(data, size));
   Require(result.contract.has_value() == result.faults.empty(),
-          "a contract or faults");
+          "either a contract or faults are returned");
   if (!result.contract)
     return 0;
   const std::string yaml = ToYaml(*result.contract);
-  const auto again = TryParseContract(yaml);
-  Require(again.contract.has_value() && ToYaml(*again.contract) == yaml,
-          "a contract reads back as written");
+  const auto decoded_again = TryParseContract(yaml);
+  Require(decoded_again.contract.has_value() &&
+              ToYaml(*decoded_again.contract) == yaml,
+          "a contract is unchanged by writing and parsing it");
   return 0;
 }
--- a/source/fuzz/datagram_fuzz.cc
+++ b/source/fuzz/datagram_fuzz.cc
@@ -1,6 +1,6 @@
-// Datagrams into a live node: one input holds several, each after its length.
-// The first byte of each tells membership, limits, quarantine and configuration
-// apart.
+// Fuzzes the datagram handling of a running node. One input holds several
+// datagrams, each preceded by its length. The first byte of a datagram selects
+// membership, limits, quarantine or configuration.
 
 #include "fuzz/fuzz_input.h"
 
@@ -23,7 +23,7 @@
   const std::string text = ToString(data, size);
   for (std::size_t at = 0; at < size;) {
     const std::size_t length = data[at++];
-    // At times more than one byte can tell.
+    // Lengths from 250 are multiplied by 4, to exceed the range of one byte.
     const std::size_t bytes = length < 250 ? length : length * 4;
     const Endpoint from{"127.0.0.2", static_cast<std::uint16_t>(length % 4)};
     if (at >= size)
@@ -32,7 +32,8 @@
     at += bytes;
     now += std::chrono::milliseconds(300);
     for (int timers = 0; logic.NextWakeup() <= now; ++timers) {
-      Require(timers < 100, "no timer fires for ever at one moment");
+      Require(timers < 100,
+              "timers do not fire endlessly at one point in time");
       logic.Handle(now, TimerFired{});
     }
   }
--- a/source/fuzz/fuzz_input.h
+++ b/source/fuzz/fuzz_input.h
@@ -1,4 +1,4 @@
-// What the fuzz targets share.
+// Input conversion and invariant checks shared by the fuzz targets.
 
 #ifndef BULRUSHMOUNT_FUZZ_FUZZ_INPUT_H_
 #define BULRUSHMOUNT_FUZZ_FUZZ_INPUT_H_
@@ -15,7 +15,8 @@
   return {reinterpret_cast<const char*>(data), size};
 }
 
-// Ends the run with `text` as the finding.
+// Aborts with a message if `condition` is false, which libFuzzer reports as a
+// crash. `text` states the violated invariant. scripts/fuzz matches the prefix.
 inline void Require(bool condition, const char* text) {
   if (condition)
     return;
@@ -25,7 +26,7 @@
 
 }  // namespace bulrushmount
 
-// libFuzzer's name.
+// The name is given by libFuzzer.
 // NOLINTNEXTLINE(readability-identifier-naming)
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data,
                                       std::size_t size);
--- a/source/fuzz/node_logic_fuzz.cc
+++ b/source/fuzz/node_logic_fuzz.cc
@@ -1,4 +1,4 @@
-// Arbitrary events into one node.
+// Fuzzes the logic of one node with arbitrary sequences of events.
 
 #include "fuzz/fuzz_input.h"
 
--- a/source/fuzz/node_stream_fuzz.cc
+++ b/source/fuzz/node_stream_fuzz.cc
@@ -1,4 +1,5 @@
-// Heads of node streams: one field a line, its name and value parted by a tab.
+// Fuzzes the decoder of stream heads between nodes. The input has one field per
+// line, its name and value separated by a tab.
 
 #include "fuzz/fuzz_input.h"
 
@@ -21,20 +22,20 @@
   }
   if (const auto request = DecodeRequest(fields)) {
     const HeaderList written = EncodeRequest(*request);
-    const auto again = DecodeRequest(written);
-    Require(again && EncodeRequest(*again) == written,
-            "a request reads back as written");
-    // What the owner does with it first.
-    const TimePoint deadline = Now() + again->work.time_left;
-    Require(again->work.weight / again->work.share >= 0 &&
+    const auto decoded_again = DecodeRequest(written);
+    Require(decoded_again && EncodeRequest(*decoded_again) == written,
+            "a request is unchanged by encoding and decoding it");
+    // The first computations of the owner that receives the request.
+    const TimePoint deadline = Now() + decoded_again->work.time_left;
+    Require(decoded_again->work.weight / decoded_again->work.share >= 0 &&
                 deadline != TimePoint::max(),
-            "a work is sound");
+            "the weight, share and time left of a work are in range");
   }
   if (const auto reply = DecodeReply(fields)) {
     const HeaderList written = EncodeReply(*reply);
-    const auto again = DecodeReply(written);
-    Require(again && EncodeReply(*again) == written,
-            "a reply reads back as written");
+    const auto decoded_again = DecodeReply(written);
+    Require(decoded_again && EncodeReply(*decoded_again) == written,
+            "a reply is unchanged by encoding and decoding it");
   }
   return 0;
 }
--- a/source/fuzz/settings_fuzz.cc
+++ b/source/fuzz/settings_fuzz.cc
@@ -1,4 +1,4 @@
-// The settings file of the daemon, as YAML.
+// Fuzzes the parser of the daemon's settings file in YAML.
 
 #include "fuzz/fuzz_input.h"
 
@@ -9,6 +9,6 @@
   using namespace bulrushmount;
   const auto result = TryParseDaemonSettings(ToString(data, size));
   Require(result.settings.has_value() == result.faults.empty(),
-          "settings or faults");
+          "either settings or faults are returned");
   return 0;
 }
--- a/source/fuzz/table_codec_fuzz.cc
+++ b/source/fuzz/table_codec_fuzz.cc
@@ -1,4 +1,4 @@
-// Requests and replies of the table, as JSON.
+// Fuzzes the decoders of table requests and replies in JSON.
 
 #include "fuzz/fuzz_input.h"
 
@@ -16,9 +16,9 @@
         [path, &text]() -> boost::leaf::result<void> {
           BOOST_LEAF_AUTO(request, DecodeTableRequest(path, text));
           const std::string json = EncodeTableRequest(request);
-          BOOST_LEAF_AUTO(again, DecodeTableRequest(path, json));
-          Require(EncodeTableRequest(again) == json,
-                  "a request reads back as written");
+          BOOST_LEAF_AUTO(decoded_again, DecodeTableRequest(path, json));
+          Require(EncodeTableRequest(decoded_again) == json,
+                  "a request is unchanged by encoding and decoding it");
           return {};
         },
         [] {});
@@ -26,8 +26,10 @@
   boost::leaf::try_handle_all(
       [&text]() -> boost::leaf::result<void> {
         BOOST_LEAF_AUTO(reply, DecodeTableReply(text));
-        BOOST_LEAF_AUTO(again, DecodeTableReply(EncodeTableReply(reply)));
-        Require(again.rows == reply.rows, "a reply reads back as written");
+        BOOST_LEAF_AUTO(decoded_again,
+                        DecodeTableReply(EncodeTableReply(reply)));
+        Require(decoded_again.rows == reply.rows,
+                "a reply is unchanged by encoding and decoding it");
         return {};
       },
       [] {});
--- a/source/fuzz/target_answer_fuzz.cc
+++ b/source/fuzz/target_answer_fuzz.cc
@@ -1,4 +1,5 @@
-// An answer of a target: its head, and what is relayed of it.
+// Fuzzes the answer head of a target and the part of it that is relayed to the
+// caller.
 
 #include "fuzz/fuzz_input.h"
 
@@ -23,11 +24,11 @@
   head.status = static_cast<int>(parser.get().result_int());
   head.headers = EndToEndFields(parser.get());
   const std::string text = ToText(head);
-  // A field that ends early would be read as two.
+  // A line break inside a field would make the caller read it as two fields.
   std::size_t lines = 0;
   for (std::size_t at = text.find("\r\n"); at != std::string::npos;
        at = text.find("\r\n", at + 2))
     ++lines;
-  Require(lines <= head.headers.size() + 4, "no field becomes two");
+  Require(lines <= head.headers.size() + 4, "no relayed field is split in two");
   return 0;
 }
