--- a/source/process_tests/fleet_fixture.h
+++ b/source/process_tests/fleet_fixture.h
@@ -127,10 +127,10 @@
 
   CallAnswer Call(std::size_t entry,
                   const CallRequest& request,
-                  Duration limit = kGenerousLimit);
+                  Duration limit = kTestHangTimeout);
   std::future<CallAnswer> CallLater(std::size_t entry,
                                     CallRequest request,
-                                    Duration limit = kGenerousLimit);
+                                    Duration limit = kTestHangTimeout);
 
   std::vector<LedgerLine> Ledger(std::size_t index) const;
   std::vector<LedgerLine> Ledgers() const;
--- a/source/process_tests/process_fixture.h
+++ b/source/process_tests/process_fixture.h
@@ -36,7 +36,7 @@
                     const std::string& path,
                     const std::string& body = {},
                     const std::vector<HttpHeader>& headers = {},
-                    Duration limit = kGenerousLimit);
+                    Duration limit = kTestHangTimeout);
 
 // A folder for the test's files, addresses of its own, and the stand-ins.
 class ProcessTest : public testing::Test {
--- a/source/process_tests/raw_caller.h
+++ b/source/process_tests/raw_caller.h
@@ -22,14 +22,14 @@
   RawCaller& operator=(const RawCaller&) = delete;
 
   // False if the other side closed the connection before it took all bytes.
-  bool Send(std::string_view bytes, Duration limit = kGenerousLimit);
+  bool Send(std::string_view bytes, Duration limit = kTestHangTimeout);
   // Reads until `total` bytes have come since the start; false if the
   // connection ends or the limit passes before.
-  bool ReadUntil(std::size_t total, Duration limit = kGenerousLimit);
+  bool ReadUntil(std::size_t total, Duration limit = kTestHangTimeout);
   // The same for `size` bytes after the first answer's head.
-  bool ReadBody(std::size_t size, Duration limit = kGenerousLimit);
+  bool ReadBody(std::size_t size, Duration limit = kTestHangTimeout);
   // Reads until the other side closes; false if it does not within the limit.
-  bool ReadToEnd(Duration limit = kGenerousLimit);
+  bool ReadToEnd(Duration limit = kTestHangTimeout);
 
   // All that came.
   const std::string& bytes() const { return m_bytes; }
--- a/source/process_tests/stand_ins_test.cc
+++ b/source/process_tests/stand_ins_test.cc
@@ -133,17 +133,17 @@
   const auto read = [&](Duration limit) {
     return HttpCall(middle, "GET", "/control/counters", {}, {}, limit).status;
   };
-  EXPECT_EQ(read(kGenerousLimit), 200U);
+  EXPECT_EQ(read(kTestHangTimeout), 200U);
   relay.Set(LinkState::kStalled);
   EXPECT_EQ(read(std::chrono::milliseconds(100)), 0U);
   auto held =
-      std::async(std::launch::async, [&] { return read(kGenerousLimit); });
+      std::async(std::launch::async, [&] { return read(kTestHangTimeout); });
   relay.Set(LinkState::kOpen);
   EXPECT_EQ(held.get(), 200U);
   relay.Set(LinkState::kCut);
-  EXPECT_EQ(read(kGenerousLimit), 0U);
+  EXPECT_EQ(read(kTestHangTimeout), 0U);
   relay.Set(LinkState::kOpen);
-  EXPECT_EQ(read(kGenerousLimit), 200U);
+  EXPECT_EQ(read(kTestHangTimeout), 200U);
 }
 
 TEST_F(StandInsTest, FrozenProcessGoesOnWhereItWas) {
--- a/source/stand_ins/child_process.h
+++ b/source/stand_ins/child_process.h
@@ -17,11 +17,11 @@
 
 // Limit that ends a hanging test. No test may pass or fail by how long a wait
 // takes.
-inline constexpr Duration kGenerousLimit = std::chrono::seconds(60);
+inline constexpr Duration kTestHangTimeout = std::chrono::seconds(60);
 
 // Polls until `is_done` returns true; returns false once `limit` has passed.
 bool WaitUntil(const std::function<bool()>& is_done,
-               Duration limit = kGenerousLimit);
+               Duration limit = kTestHangTimeout);
 
 struct ExitStatus {
   // Empty if a signal ended the process.
@@ -58,7 +58,7 @@
   // Sends SIGHUP.
   void Reload();
   // Returns nothing if the process still runs after `limit`.
-  std::optional<ExitStatus> WaitForExit(Duration limit = kGenerousLimit);
+  std::optional<ExitStatus> WaitForExit(Duration limit = kTestHangTimeout);
   std::string StderrText() const;
   std::string StdoutText() const;
 
