--- a/source/soak/soak_run.cc
+++ b/source/soak/soak_run.cc
@@ -203,7 +203,7 @@
     case FaultKind::kStallLink:
       return FailLink(fault, LinkState::kStalled);
     case FaultKind::kStallLinkDown:
-      return FailLink(fault, LinkState::kStalledDown);
+      return FailLink(fault, LinkState::kStalledFromServer);
     case FaultKind::kSlowLink:
       return FailLink(fault, LinkState::kSlow);
     case FaultKind::kMoveRoutes:
--- a/source/stand_ins/cuttable_relay.cc
+++ b/source/stand_ins/cuttable_relay.cc
@@ -117,7 +117,7 @@
 
   bool IsStalled(const Pump& pump) const {
     return m_state == LinkState::kStalled ||
-           (m_state == LinkState::kStalledDown && pump.is_from_server);
+           (m_state == LinkState::kStalledFromServer && pump.is_from_server);
   }
 
   void Write(Pump& pump) {
--- a/source/stand_ins/cuttable_relay.h
+++ b/source/stand_ins/cuttable_relay.h
@@ -18,7 +18,7 @@
   // if all packets were lost.
   kStalled,
   // As kStalled, but only in the direction from server to client.
-  kStalledDown,
+  kStalledFromServer,
   // Each read is relayed `CuttableRelay::kDelay` late.
   kSlow,
 };
