--- a/source/process_tests/stand_ins_test.cc
+++ b/source/process_tests/stand_ins_test.cc
@@ -129,7 +129,7 @@
   const Endpoint platform = FreeEndpoint();
   const auto process = StartPlatform(platform);
   const Endpoint middle = FreeEndpoint();
-  CuttableRelay relay(middle, platform);
+  TcpFaultRelay relay(middle, platform);
   const auto read = [&](Duration limit) {
     return HttpCall(middle, "GET", "/control/counters", {}, {}, limit).status;
   };
--- a/source/stand_ins/cuttable_relay.cc
+++ b/source/stand_ins/cuttable_relay.cc
@@ -107,7 +107,7 @@
     if (IsStalled(pump)) {
       pump.holds_bytes = true;
     } else if (m_state == LinkState::kSlow) {
-      pump.delay.expires_after(CuttableRelay::kDelay);
+      pump.delay.expires_after(TcpFaultRelay::kDelay);
       pump.delay.async_wait([self = shared_from_this(),
                              &pump](const error_code&) { self->Write(pump); });
     } else {
@@ -209,12 +209,12 @@
 
 }  // namespace detail
 
-CuttableRelay::CuttableRelay(const Endpoint& listen, const Endpoint& server)
+TcpFaultRelay::TcpFaultRelay(const Endpoint& listen, const Endpoint& server)
     : m_loop(std::make_unique<detail::RelayLoop>(listen, server)) {}
 
-CuttableRelay::~CuttableRelay() = default;
+TcpFaultRelay::~TcpFaultRelay() = default;
 
-void CuttableRelay::Set(LinkState state) {
+void TcpFaultRelay::Set(LinkState state) {
   m_loop->Set(state);
 }
 
--- a/source/stand_ins/cuttable_relay.h
+++ b/source/stand_ins/cuttable_relay.h
@@ -19,7 +19,7 @@
   kStalled,
   // As kStalled, but only in the direction from server to client.
   kStalledFromServer,
-  // Each read is relayed `CuttableRelay::kDelay` late.
+  // Each read is relayed `TcpFaultRelay::kDelay` late.
   kSlow,
 };
 
@@ -28,14 +28,14 @@
 }  // namespace detail
 
 // Relays connections on a thread of its own.
-class CuttableRelay {
+class TcpFaultRelay {
  public:
   // Throws boost::system::system_error if it cannot listen.
-  CuttableRelay(const Endpoint& listen, const Endpoint& server);
-  ~CuttableRelay();
+  TcpFaultRelay(const Endpoint& listen, const Endpoint& server);
+  ~TcpFaultRelay();
 
-  CuttableRelay(const CuttableRelay&) = delete;
-  CuttableRelay& operator=(const CuttableRelay&) = delete;
+  TcpFaultRelay(const TcpFaultRelay&) = delete;
+  TcpFaultRelay& operator=(const TcpFaultRelay&) = delete;
 
   // Delay of each read in kSlow.
   static constexpr std::chrono::milliseconds kDelay{120};
