--- a/source/process_tests/stand_ins_test.cc
+++ b/source/process_tests/stand_ins_test.cc
@@ -9,8 +9,8 @@
 #include <gtest/gtest.h>
 
 #include "process_tests/process_fixture.h"
-#include "stand_ins/cuttable_relay.h"
 #include "stand_ins/request_digest.h"
+#include "stand_ins/tcp_fault_relay.h"
 
 namespace bulrushmount {
 namespace {
--- a/source/stand_ins/cuttable_relay.cc
+++ b/source/stand_ins/cuttable_relay.cc
@@ -1,7 +1,7 @@
 // Each connection has two pumps, one for each direction. A stalled pump keeps
 // the bytes that it has read and stops reading.
 
-#include "stand_ins/cuttable_relay.h"
+#include "stand_ins/tcp_fault_relay.h"
 
 #include <array>
 #include <cstddef>
--- a/source/stand_ins/cuttable_relay.h
+++ b/source/stand_ins/tcp_fault_relay.h
@@ -1,7 +1,7 @@
 // A TCP relay between two processes that can cut, stall or slow their link.
 
-#ifndef BULRUSHMOUNT_STAND_INS_CUTTABLE_RELAY_H_
-#define BULRUSHMOUNT_STAND_INS_CUTTABLE_RELAY_H_
+#ifndef BULRUSHMOUNT_STAND_INS_TCP_FAULT_RELAY_H_
+#define BULRUSHMOUNT_STAND_INS_TCP_FAULT_RELAY_H_
 
 #include <chrono>
 #include <memory>
@@ -50,4 +50,4 @@
 
 }  // namespace bulrushmount
 
-#endif  // BULRUSHMOUNT_STAND_INS_CUTTABLE_RELAY_H_
+#endif  // BULRUSHMOUNT_STAND_INS_TCP_FAULT_RELAY_H_
