--- a/source/benchmarks/capacity_benchmark.cc
+++ b/source/benchmarks/capacity_benchmark.cc
@@ -1,12 +1,13 @@
-// What a whole node costs as the fleet grows, in virtual time: heap, processor
-// time by event, datagrams by kind, table requests by prefix; idle, under load,
-// after the loss of an availability zone, and at a common restart with a slow
-// table. Prints one line of key=value pairs a figure.
+// Measures the cost of a complete node by the size of the fleet, in virtual
+// time: heap, processor time by event, datagrams by kind, table requests by key
+// prefix. Covers an idle fleet, load, the loss of an availability zone, and a
+// simultaneous restart of all nodes with a slow table. Prints one line of
+// key=value pairs for each figure.
 //
 //   capacity_benchmark SEED MEMBERS SERVICES WORKSPACES CALLS_PER_S PHASE...
 //
-// Phases, in the order given: idle calls load zone restart. CALLS_PER_S is for
-// each entry.
+// Phases: idle, calls, load, zone, restart. They run in the order given.
+// CALLS_PER_S is the rate at each entry.
 
 #include <malloc.h>
 
@@ -32,6 +33,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
+// By the index of the alternative in `NodeEvent`.
 constexpr std::array<std::string_view, kEventKinds> kEventNames = {
     "call_arrived",           "caller_disconnected",  "attempt_refused",
     "attempt_answer_begun",   "attempt_answer_ended", "attempt_lost",
@@ -45,12 +47,14 @@
 constexpr std::array<std::string_view, kDatagramKinds> kDatagramNames = {
     "other", "gossip", "limits", "quarantine", "config"};
 
-constexpr Duration kIdleSpan = seconds(30);
-// The limits' loans are small at first.
-constexpr Duration kLoadBegin = seconds(10);
-constexpr Duration kLoadSettling = seconds(40);
-constexpr Duration kLoadSpan = seconds(5);
-// A target's cold start without calls is over after twice its time.
+constexpr Duration kIdleTime = seconds(30);
+// Entries start with small loans from the limiter homes, so calls are refused
+// at first.
+constexpr Duration kLoadRampUp = seconds(10);
+constexpr Duration kLoadSettleTime = seconds(40);
+constexpr Duration kLoadTime = seconds(5);
+// Longer than the cold start of a target that gets no calls, which takes twice
+// the configured time.
 constexpr Duration kColdStart = seconds(22);
 
 std::size_t HeapBytes() {
@@ -107,8 +111,8 @@
                     const NetworkCounts& counts,
                     std::size_t nodes,
                     double span_s) {
-  std::uint64_t most_sent = 0;
-  std::uint64_t most_received = 0;
+  std::uint64_t max_sent = 0;
+  std::uint64_t max_received = 0;
   NodeTraffic sum;
   for (const NodeTraffic& traffic : counts.traffic) {
     std::uint64_t sent = 0;
@@ -119,8 +123,8 @@
       sum.sent[i].datagrams += traffic.sent[i].datagrams;
       sum.sent[i].bytes += traffic.sent[i].bytes;
     }
-    most_sent = std::max(most_sent, sent);
-    most_received = std::max(most_received, received);
+    max_sent = std::max(max_sent, sent);
+    max_received = std::max(max_received, received);
   }
   const double node_seconds = static_cast<double>(nodes) * span_s;
   double bytes = 0;
@@ -138,13 +142,13 @@
   fmt::print(
       "{} sent_bytes_per_node_s={:.0f} busiest_sent_bytes_per_s={:.0f} "
       "busiest_received_bytes_per_s={:.0f}\n",
-      prefix, bytes / node_seconds, static_cast<double>(most_sent) / span_s,
-      static_cast<double>(most_received) / span_s);
+      prefix, bytes / node_seconds, static_cast<double>(max_sent) / span_s,
+      static_cast<double>(max_received) / span_s);
 }
 
-void PrintTable(const std::string& prefix,
-                const NetworkCounts& counts,
-                double span_s) {
+void PrintTableRequests(const std::string& prefix,
+                        const NetworkCounts& counts,
+                        double span_s) {
   for (const auto& [name, count] : counts.table) {
     fmt::print(
         "{} table={} fleet_reads_per_s={:.2f} "
@@ -154,31 +158,33 @@
         static_cast<double>(count.rows_written) / span_s);
   }
   fmt::print("{} most_table_reads_in_a_second={}\n", prefix,
-             counts.most_reads_in_a_second);
+             counts.max_reads_per_second);
 }
 
-void PrintSpan(const Options& options,
-               const std::string& phase,
-               const NodeNetwork& network,
-               Duration span) {
+void PrintCosts(const Options& options,
+                const std::string& phase,
+                const NodeNetwork& network,
+                Duration span) {
   const std::string prefix = Prefix(options, phase);
   const std::size_t nodes = network.CountRunning();
   const double span_s = ToSeconds(span);
   PrintEvents(prefix, network.counts(), static_cast<double>(nodes) * span_s);
   PrintDatagrams(prefix, network.counts(), nodes, span_s);
-  PrintTable(prefix, network.counts(), span_s);
+  PrintTableRequests(prefix, network.counts(), span_s);
 }
 
-// Brings up a fleet whose nodes know each other, serve and have the contracts.
+// Starts a fleet in which all nodes know each other, have the contracts and
+// serve.
 void Prepare(const Options& options, NodeNetwork& network, std::size_t heap) {
   network.StartAll();
   PrintHeap(options, "alone", heap);
-  network.Acquaint(2, true);
+  network.DistributeMemberRecords(2, true);
   PrintHeap(options, "acquainted", heap);
   network.Run(kColdStart);
-  // All cold starts end at one moment here; telling it by hand spares the wait
-  // until the gossip's budget has carried a thousand records to everyone.
-  network.Acquaint(3, false);
+  // All cold starts end at the same time here. Delivering the new records
+  // directly avoids the wait until gossip, whose rate is limited, has spread a
+  // thousand records to all nodes.
+  network.DistributeMemberRecords(3, false);
   network.Run(seconds(10));
   PrintHeap(options, "before_contracts", heap);
   const bool is_written = network.WriteContracts();
@@ -193,24 +199,24 @@
 
 void RunIdle(const Options& options, NodeNetwork& network) {
   network.ResetCounts();
-  network.Run(kIdleSpan);
-  PrintSpan(options, "idle", network, kIdleSpan);
+  network.Run(kIdleTime);
+  PrintCosts(options, "idle", network, kIdleTime);
 }
 
-// A node's own cost of a call with warm caches: in the load phase all nodes of
-// the fleet share one processor's caches, which real nodes do not.
+// Measures the cost of a call at one node with warm caches. In the load phase
+// all nodes of the fleet share the caches of one processor, unlike real nodes.
 void RunCalls(const Options& options, NodeNetwork& network) {
-  constexpr std::size_t calls_each = 2000;
+  constexpr std::size_t calls_per_node = 2000;
   const std::size_t nodes = std::min<std::size_t>(network.size(), 8);
   network.ResetCounts();
-  std::size_t exercised = 0;
+  std::size_t completed = 0;
   for (std::size_t node = 0; node < nodes; ++node) {
-    for (std::size_t i = 0; i < calls_each; ++i)
-      exercised += network.ExerciseCall(node) ? 1 : 0;
+    for (std::size_t i = 0; i < calls_per_node; ++i)
+      completed += network.RunCallOnNode(node) ? 1 : 0;
   }
   const std::string prefix = Prefix(options, "calls");
-  fmt::print("{} calls={} exercised={}\n", prefix, nodes * calls_each,
-             exercised);
+  fmt::print("{} calls={} exercised={}\n", prefix, nodes * calls_per_node,
+             completed);
   for (std::size_t i = 0; i < kEventKinds; ++i) {
     const EventCost& cost = network.counts().events[i];
     if (cost.count > 0)
@@ -233,20 +239,20 @@
 void RunLoad(const Options& options, NodeNetwork& network, std::size_t heap) {
   network.ResetCounts();
   network.SetLoad(options.calls_per_second);
-  network.Run(kLoadBegin);
+  network.Run(kLoadRampUp);
   PrintCalls(options, "load_begin", network.counts());
-  network.Run(kLoadSettling);
+  network.Run(kLoadSettleTime);
   network.ResetCounts();
-  network.Run(kLoadSpan);
+  network.Run(kLoadTime);
   PrintCalls(options, "load", network.counts());
-  PrintSpan(options, "load", network, kLoadSpan);
+  PrintCosts(options, "load", network, kLoadTime);
   PrintHeap(options, "load", heap);
   network.SetLoad(0);
   network.Run(seconds(20));
 }
 
-// Whether the nodes looked at, some twenty of all, count `members`.
-bool Agree(const NodeNetwork& network, std::size_t members) {
+// Whether a sample of about twenty nodes see `members` live members each.
+bool MemberCountsAgree(const NodeNetwork& network, std::size_t members) {
   const std::size_t stride = std::max<std::size_t>(network.size() / 20, 1);
   for (std::size_t i = 0; i < network.size(); i += stride) {
     if (network.IsRunning(i) && network.MembersAt(i) != members)
@@ -255,8 +261,8 @@
   return true;
 }
 
-// Seconds, or -1 if it does not come about within `limit`; `peak` is raised to
-// the heap seen meanwhile.
+// Runs the network until `condition` holds. Returns the virtual seconds, or -1
+// if `limit` passes first. Raises `peak` to the largest heap size observed.
 template <typename Condition>
 double SecondsUntil(NodeNetwork& network,
                     Duration limit,
@@ -272,21 +278,25 @@
   return ToSeconds(network.now() - start);
 }
 
-void RunZone(const Options& options, NodeNetwork& network, std::size_t heap) {
+void RunZoneLoss(const Options& options,
+                 NodeNetwork& network,
+                 std::size_t heap) {
   std::size_t peak = heap;
   network.StopZone(0);
   network.ResetCounts();
-  const std::size_t left = network.CountRunning();
+  const std::size_t running = network.CountRunning();
   const TimePoint start = network.now();
-  const double known_s = SecondsUntil(network, seconds(90), peak,
-                                      [&] { return Agree(network, left); });
-  PrintSpan(options, "zone", network, network.now() - start);
+  const double known_s = SecondsUntil(network, seconds(90), peak, [&] {
+    return MemberCountsAgree(network, running);
+  });
+  PrintCosts(options, "zone", network, network.now() - start);
   fmt::print("{} gone={} known_to_all_s={:.1f} peak_heap_bytes_per_node={}\n",
-             Prefix(options, "zone"), network.size() - left, known_s,
+             Prefix(options, "zone"), network.size() - running, known_s,
              (peak - heap) / network.size());
 }
 
-// Every process is new, nobody knows anyone, and the table takes a second.
+// Replaces all processes at once. No node knows another, and the table takes
+// one second to answer.
 void RunRestart(const Options& options,
                 NodeNetwork& network,
                 std::size_t heap) {
@@ -299,9 +309,9 @@
     return network.CountReady() == network.size();
   });
   const double known_s = SecondsUntil(network, seconds(120), peak, [&] {
-    return Agree(network, network.size());
+    return MemberCountsAgree(network, network.size());
   });
-  PrintSpan(options, "restart", network, network.now() - start);
+  PrintCosts(options, "restart", network, network.now() - start);
   fmt::print(
       "{} all_ready_s={:.1f} then_all_known_s={:.1f} ready={} "
       "members_at_0={} peak_heap_bytes_per_node={}\n",
@@ -320,7 +330,7 @@
   else if (phase == "load")
     RunLoad(options, network, heap);
   else if (phase == "zone")
-    RunZone(options, network, heap);
+    RunZoneLoss(options, network, heap);
   else if (phase == "restart")
     RunRestart(options, network, heap);
 }
@@ -337,7 +347,7 @@
         stderr);
     return 2;
   }
-  // A long run that is broken off shows what it measured.
+  // Line buffering keeps the results of a long run that is interrupted.
   std::setvbuf(stdout, nullptr, _IOLBF, BUFSIZ);
   SetLogLevel(LogLevel::kError);
   Options options;
--- a/source/benchmarks/claims_benchmark.cc
+++ b/source/benchmarks/claims_benchmark.cc
@@ -1,7 +1,7 @@
-// Prints what keyed bookings cost: table writes for each booking in virtual
-// time, with and without batching, and the processor time of a claim and of a
-// recorded call. The bookings arrive at one node as a Poisson process; each
-// runs for a while and finishes.
+// Measures the cost of bookings, which are calls with an idempotency key: table
+// writes per booking in virtual time, with and without batching, and the
+// processor time of a claim and of recording a call. The bookings arrive at one
+// node as a Poisson process; each runs for `kServiceTime` and finishes.
 //
 //   claims_benchmark [SEED]
 
@@ -30,17 +30,19 @@
 using std::chrono_literals::operator""ms;
 using std::chrono_literals::operator""s;
 
-constexpr Duration kRunTime = 20ms;
+constexpr Duration kServiceTime = 20ms;
 constexpr int kBookings = 20'000;
 constexpr int kSeries = 200;
 constexpr int kCalls = 2'000'000;
 
-// Runs steps in the order of their time.
+// Runs scheduled functions in the order of their virtual time.
 class VirtualTime {
  public:
   using Step = std::function<void(TimePoint)>;
 
-  void At(TimePoint time, Step step) { m_steps.emplace(time, std::move(step)); }
+  void ScheduleAt(TimePoint time, Step step) {
+    m_steps.emplace(time, std::move(step));
+  }
   bool is_empty() const { return m_steps.empty(); }
   TimePoint next() const { return m_steps.begin()->first; }
 
@@ -57,7 +59,8 @@
   TimePoint m_now;
 };
 
-// Takes effect at once and answers after `delay`.
+// A table in which requests take effect immediately and are answered after
+// `delay`.
 class DelayedTable : public TableService {
  public:
   DelayedTable(VirtualTime& time, Duration delay)
@@ -65,9 +68,10 @@
 
   void Submit(TableRequest request, Callback callback) override {
     TableReply reply = m_table.Apply(request);
-    m_time.At(m_time.now() + m_delay,
-              [callback = std::move(callback), reply = std::move(reply)](
-                  TimePoint now) { callback(now, reply); });
+    m_time.ScheduleAt(
+        m_time.now() + m_delay,
+        [callback = std::move(callback),
+         reply = std::move(reply)](TimePoint now) { callback(now, reply); });
   }
 
  private:
@@ -76,6 +80,7 @@
   InMemoryTable m_table;
 };
 
+// Claim settings to compare.
 struct Mode {
   const char* name;
   ClaimSettings settings;
@@ -88,15 +93,17 @@
   double cpu_us = 0;
 };
 
+// Runs `kBookings` bookings at one rate, table delay and mode.
 class Run {
  public:
-  // `released_part` of the bookings are released and not run.
+  // A fraction `released_fraction` of the bookings is released instead of
+  // finished.
   Run(const Mode& mode,
       double rate,
       Duration delay,
       std::uint64_t seed,
-      double released_part = 0)
-      : m_released_part(released_part),
+      double released_fraction = 0)
+      : m_released_fraction(released_fraction),
         m_random(seed),
         m_table(m_time, delay),
         m_book(mode.settings, m_table, m_random, {TimePoint(), WallTime()}),
@@ -107,14 +114,14 @@
     const auto start = std::chrono::steady_clock::now();
     while (!m_time.is_empty() || m_book.NextWakeup() != TimePoint::max())
       Step();
-    const Duration took = std::chrono::steady_clock::now() - start;
+    const Duration elapsed = std::chrono::steady_clock::now() - start;
     std::sort(m_waits.begin(), m_waits.end());
     double sum = 0;
     for (const double wait : m_waits)
       sum += wait;
     const double count = static_cast<double>(m_waits.size());
     return {m_book.stats(), sum / count, m_waits[m_waits.size() * 99 / 100],
-            ToSeconds(took) * 1e6 / count};
+            ToSeconds(elapsed) * 1e6 / count};
   }
 
  private:
@@ -122,36 +129,38 @@
     TimePoint time;
     for (int booking = 0; booking < kBookings; ++booking) {
       time += FromSeconds(-std::log(1 - m_random.Fraction()) / m_rate);
-      m_time.At(time, [this, booking](TimePoint now) { Book(now, booking); });
+      m_time.ScheduleAt(
+          time, [this, booking](TimePoint now) { AcquireClaim(now, booking); });
     }
   }
 
   void Step() {
     const TimePoint wakeup = m_book.NextWakeup();
     if (m_time.is_empty() || wakeup < m_time.next())
-      m_time.At(wakeup, [](TimePoint) {});
+      m_time.ScheduleAt(wakeup, [](TimePoint) {});
     m_time.RunNext();
     m_book.OnTimer(m_time.now());
   }
 
-  void Book(TimePoint now, int booking) {
+  void AcquireClaim(TimePoint now, int booking) {
     m_ids.push_back({});
     m_ids[booking] = m_book.Acquire(
         now,
         {WorkspaceName("studio"),
          IdempotencyKey(fmt::format("booking-{}", booking)), Fingerprint(1),
          now + 2s, std::chrono::hours(24)},
-        [this, now, booking](TimePoint then, const ClaimResult& result) {
+        [this, now, booking](TimePoint granted_at, const ClaimResult& result) {
           if (result.status != ClaimStatus::kGranted)
             std::abort();
-          m_waits.push_back(ToMilliseconds(then - now));
-          m_time.At(then + kRunTime,
-                    [this, booking](TimePoint end) { Finish(end, booking); });
+          m_waits.push_back(ToMilliseconds(granted_at - now));
+          m_time.ScheduleAt(
+              granted_at + kServiceTime,
+              [this, booking](TimePoint end) { Finish(end, booking); });
         });
   }
 
   void Finish(TimePoint now, int booking) {
-    if (m_released_part > 0 && m_random.Fraction() < m_released_part) {
+    if (m_released_fraction > 0 && m_random.Fraction() < m_released_fraction) {
       m_book.Release(now, m_ids[booking]);
       return;
     }
@@ -159,7 +168,7 @@
                   {201, "application/json", std::string(200, 'x')});
   }
 
-  double m_released_part;
+  double m_released_fraction;
   VirtualTime m_time;
   SeededRandomSource m_random;
   DelayedTable m_table;
@@ -205,10 +214,11 @@
 void PrintReleases(std::uint64_t seed) {
   fmt::print("transactions a booking, some released and not run, table 5 ms\n");
   fmt::print("{:>9} {:>9} {:>12}\n", "bookings/s", "released", "transactions");
-  for (const double part : {0.0, 0.01, 0.1, 0.5}) {
+  for (const double released_fraction : {0.0, 0.01, 0.1, 0.5}) {
     for (const double rate : {1.0, 10.0, 100.0, 1000.0}) {
-      const Result result = Run({"", {}}, rate, 5ms, seed, part).Measure();
-      fmt::print("{:>9.0f} {:>9.2f} {:>12.3f}\n", rate, part,
+      const Result result =
+          Run({"", {}}, rate, 5ms, seed, released_fraction).Measure();
+      fmt::print("{:>9.0f} {:>9.2f} {:>12.3f}\n", rate, released_fraction,
                  static_cast<double>(result.stats.transactions) / kBookings);
     }
   }
--- a/source/benchmarks/limits_benchmark.cc
+++ b/source/benchmarks/limits_benchmark.cc
@@ -1,9 +1,10 @@
-// Measures the workspace limits and the quarantine, in virtual time but for the
-// processor's: what a workspace gets beyond its limit when homes die, the fleet
-// is cut or nodes are stopped; the datagrams; the time of one admission; the
-// targets that one poison request crashes.
+// Measures the workspace limits and the quarantine: how far a workspace exceeds
+// its limit when limiter homes fail, the fleet is partitioned or nodes are
+// suspended; how fast entries get credit in a cold start; the datagrams sent;
+// the processor time of one admission; and the number of targets that one
+// poison request crashes. All but the processor time is in virtual time.
 //   limits_benchmark [SEED [SECTION]]
-// SECTION is admitted, cold, datagrams, processor or crashes; all without it.
+// SECTION is admitted, cold, datagrams, processor or crashes; default: all.
 
 #include <algorithm>
 #include <chrono>
@@ -31,33 +32,35 @@
 
 // --- Over-admission ---------------------------------------------------------
 
-constexpr double kOverload = 3;
-constexpr Duration kDetection = 2s;
+constexpr double kOfferedLoadFactor = 3;
+constexpr Duration kDetectionTime = 2s;
 constexpr double kWindowSeconds = 10;
-// A fleet of 1,100 takes some rounds of 20 s to share a rate out.
+// A fleet of 1,100 nodes needs several rounds of 20 s to distribute a rate.
 constexpr Duration kWarmUp = 120s;
 
+// A fault and its recovery. Each function gets the limiter home of the
+// workspace.
 struct Scenario {
   std::string name;
-  std::function<void(LimiterFleet&, std::size_t home)> fault;
-  // Two seconds later, when the members have noticed.
-  std::function<void(LimiterFleet&, std::size_t home)> noticed;
-  // Ten seconds after that.
-  std::function<void(LimiterFleet&, std::size_t home)> healed;
+  std::function<void(LimiterFleet&, std::size_t home)> inject;
+  // Called `kDetectionTime` after the fault.
+  std::function<void(LimiterFleet&, std::size_t home)> on_detected;
+  // Called `kWindowSeconds` after the detection.
+  std::function<void(LimiterFleet&, std::size_t home)> recover;
 };
 
-void Nothing(LimiterFleet&, std::size_t) {}
+void DoNothing(LimiterFleet&, std::size_t) {}
 
 void PublishMembers(LimiterFleet& fleet, std::size_t) {
   fleet.PublishMembers(true);
 }
 
-void CutInHalf(LimiterFleet& fleet, std::size_t) {
+void PartitionInHalves(LimiterFleet& fleet, std::size_t) {
   for (std::size_t index = 0; index < fleet.size() / 2; ++index)
     fleet.network().SetSide(index, 1);
 }
 
-void Heal(LimiterFleet& fleet, std::size_t) {
+void HealPartition(LimiterFleet& fleet, std::size_t) {
   for (std::size_t index = 0; index < fleet.size(); ++index)
     fleet.network().SetSide(index, 0);
   fleet.PublishMembers();
@@ -71,7 +74,7 @@
   fleet.network().SetFrozen(home, true);
 }
 
-void ThawHome(LimiterFleet& fleet, std::size_t home) {
+void UnfreezeHome(LimiterFleet& fleet, std::size_t home) {
   fleet.network().SetFrozen(home, false);
   fleet.PublishMembers();
 }
@@ -81,18 +84,19 @@
     fleet.network().SetFrozen(index, true);
 }
 
-void ThawAll(LimiterFleet& fleet, std::size_t) {
+void UnfreezeAll(LimiterFleet& fleet, std::size_t) {
   for (std::size_t index = 0; index < fleet.size(); ++index)
     fleet.network().SetFrozen(index, false);
   fleet.PublishMembers();
 }
 
 std::vector<Scenario> Scenarios() {
-  return {{"steady", Nothing, Nothing, Nothing},
-          {"home killed", KillHome, PublishMembers, Nothing},
-          {"home stopped 12 s", FreezeHome, PublishMembers, ThawHome},
-          {"third stopped 12 s", FreezeThird, PublishMembers, ThawAll},
-          {"cut in half 12 s", CutInHalf, PublishMembers, Heal}};
+  return {
+      {"steady", DoNothing, DoNothing, DoNothing},
+      {"home killed", KillHome, PublishMembers, DoNothing},
+      {"home stopped 12 s", FreezeHome, PublishMembers, UnfreezeHome},
+      {"third stopped 12 s", FreezeThird, PublishMembers, UnfreezeAll},
+      {"cut in half 12 s", PartitionInHalves, PublishMembers, HealPartition}};
 }
 
 void MeasureOverAdmission(std::size_t nodes,
@@ -102,9 +106,9 @@
   LimiterFleet fleet(nodes, seed);
   fleet.SetLimits(kWorkspace, limits);
   LimiterLoad load(fleet, kWorkspace, limits);
-  const double each =
-      kOverload * limits.units_per_second / static_cast<double>(nodes);
-  const std::vector<double> rates(nodes, each);
+  const double rate_per_node =
+      kOfferedLoadFactor * limits.units_per_second / static_cast<double>(nodes);
+  const std::vector<double> rates(nodes, rate_per_node);
   load.Run(kWarmUp, rates);
   load.Reset();
 
@@ -115,22 +119,21 @@
     load.Run(FromSeconds(seconds), rates);
     worst_window = std::max(worst_window, (load.admitted() - before) / seconds);
   };
-  scenario.fault(fleet, home);
-  run(ToSeconds(kDetection));
-  scenario.noticed(fleet, home);
+  scenario.inject(fleet, home);
+  run(ToSeconds(kDetectionTime));
+  scenario.on_detected(fleet, home);
   run(kWindowSeconds);
-  scenario.healed(fleet, home);
+  scenario.recover(fleet, home);
   run(kWindowSeconds);
-  const double whole = ToSeconds(kDetection) + 2 * kWindowSeconds;
+  const double total_seconds = ToSeconds(kDetectionTime) + 2 * kWindowSeconds;
   fmt::print("{:6} {:20} {:8.3f} {:12.3f} {:12.3f}\n", nodes, scenario.name,
-             load.admitted() / whole / limits.units_per_second,
+             load.admitted() / total_seconds / limits.units_per_second,
              worst_window / limits.units_per_second,
              load.meter().worst() / limits.burst_units);
 }
 
-// Every entry gets the first calls of an idle workspace in the same
-// millisecond.
-void MeasureSpray(std::size_t nodes, std::uint64_t seed) {
+// All entries get the first calls of an idle workspace in the same millisecond.
+void MeasureSimultaneousFirstCalls(std::size_t nodes, std::uint64_t seed) {
   const WorkspaceLimits limits{1000, 500, 100000};
   LimiterFleet fleet(nodes, seed);
   fleet.SetLimits(kWorkspace, limits);
@@ -146,13 +149,14 @@
 
 // --- Cold start -------------------------------------------------------------
 
-constexpr double kLentWell = 0.95;
+constexpr double kSufficientFraction = 0.95;
 constexpr Duration kColdWindow = 4s;
-constexpr Duration kColdRun = 120s;
+constexpr Duration kColdRunTime = 120s;
 
-// `entries` of the nodes begin in the same moment to see an overloaded
-// workspace. Prints from when on the rest of the run admits kLentWell of the
-// limit in each window, and the most bytes that a node sent in a window.
+// An overloaded workspace starts to call at `entries` of the nodes at the same
+// time. Prints the time after which every window of the run admits at least
+// kSufficientFraction of the limit, and the highest rate of bytes that a node
+// sent in a window.
 void MeasureColdStart(std::size_t nodes,
                       std::size_t entries,
                       std::uint64_t seed) {
@@ -162,41 +166,41 @@
   fleet.Advance(60s);
   LimiterLoad load(fleet, kWorkspace, limits);
   std::vector<double> rates(nodes, 0);
-  // Different rates, or all entries would call in the same milliseconds and a
-  // window's count would say little.
+  // The rates differ because with equal rates all entries would call in the
+  // same milliseconds, which makes the count of a window unreliable.
   SeededRandomSource random(seed);
-  const double mean =
-      kOverload * limits.units_per_second / static_cast<double>(entries);
+  const double mean = kOfferedLoadFactor * limits.units_per_second /
+                      static_cast<double>(entries);
   for (std::size_t index = 0; index < entries; ++index)
     rates[index] = mean * (0.5 + random.Fraction());
-  double reached = 0;
-  double most_bytes = 0;
+  double reached_s = 0;
+  double max_bytes_per_s = 0;
   double admitted = 0;
   const double window = ToSeconds(kColdWindow);
-  for (double at = 0; at < ToSeconds(kColdRun); at += window) {
+  for (double at = 0; at < ToSeconds(kColdRunTime); at += window) {
     const double before = load.admitted();
     fleet.network().ResetSentCounters();
     load.Run(kColdWindow, rates);
-    const double part =
+    const double fraction =
         (load.admitted() - before) / window / limits.units_per_second;
-    if (part < kLentWell)
-      reached = at + window;
+    if (fraction < kSufficientFraction)
+      reached_s = at + window;
     const auto bytes =
         static_cast<double>(fleet.network().MaxWireBytesPerNode());
-    most_bytes = std::max(most_bytes, bytes / window);
+    max_bytes_per_s = std::max(max_bytes_per_s, bytes / window);
     admitted = load.admitted() / (at + window) / limits.units_per_second;
   }
   fmt::print("{:6} {:8} {:12.0f} {:12.3f} {:12.0f} {:12.3f}\n", nodes, entries,
-             reached, admitted, most_bytes,
+             reached_s, admitted, max_bytes_per_s,
              load.meter().worst() / limits.burst_units);
 }
 
 // --- Datagrams --------------------------------------------------------------
 
 constexpr double kCallsPerSecond = 200;
-constexpr double kSettlingSeconds = 45;
-// Two of the longest intervals between two requests.
-constexpr double kSeconds = 87;
+constexpr double kSettleSeconds = 45;
+// Twice the longest interval between two requests of an entry.
+constexpr double kMeasuredSeconds = 87;
 
 void MeasureDatagrams(std::size_t nodes,
                       std::size_t active,
@@ -210,15 +214,15 @@
     fleet.SetLimits(names.back(), limits);
   }
   SeededRandomSource random(seed);
-  double due = 0;
+  double pending_calls = 0;
   const auto run = [&](double seconds) {
     const TimePoint end = fleet.now() + FromSeconds(seconds);
     while (fleet.now() < end) {
       fleet.Advance(LimiterFleet::kStep);
-      due += kCallsPerSecond * ToSeconds(LimiterFleet::kStep);
-      for (; due >= 1; due -= 1) {
+      pending_calls += kCallsPerSecond * ToSeconds(LimiterFleet::kStep);
+      for (; pending_calls >= 1; pending_calls -= 1) {
         for (std::size_t node = 0; node < nodes; ++node) {
-          // Each entry sees its own part of the workspaces.
+          // Each entry gets calls of its own subset of the workspaces.
           const std::size_t pick =
               (node * 7 + random.Index(active)) % workspaces;
           const Reason reason =
@@ -229,18 +233,19 @@
       }
     }
   };
-  run(kSettlingSeconds);
+  run(kSettleSeconds);
   fleet.network().ResetSentCounters();
-  run(kSeconds);
-  const double node_seconds = static_cast<double>(nodes) * kSeconds;
-  fmt::print(
-      "{:6} {:8} {:10} {:12.2f} {:12.0f} {:12.0f}\n", nodes, active, workspaces,
-      static_cast<double>(fleet.network().sent()) / node_seconds,
-      static_cast<double>(fleet.network().WireBytes()) / node_seconds,
-      static_cast<double>(fleet.network().MaxWireBytesPerNode()) / kSeconds);
+  run(kMeasuredSeconds);
+  const double node_seconds = static_cast<double>(nodes) * kMeasuredSeconds;
+  fmt::print("{:6} {:8} {:10} {:12.2f} {:12.0f} {:12.0f}\n", nodes, active,
+             workspaces,
+             static_cast<double>(fleet.network().sent()) / node_seconds,
+             static_cast<double>(fleet.network().WireBytes()) / node_seconds,
+             static_cast<double>(fleet.network().MaxWireBytesPerNode()) /
+                 kMeasuredSeconds);
 }
 
-// One workspace at every entry: its home has the most to answer.
+// All entries call for the same workspace, so its home answers all of them.
 void MeasureBusyHome(std::size_t nodes, std::uint64_t seed) {
   MeasureDatagrams(nodes, 1, 1, seed);
 }
@@ -277,22 +282,25 @@
 // --- Crashes ----------------------------------------------------------------
 
 constexpr std::size_t kNodes = 20;
-constexpr int kRepeats = 50;
+constexpr int kCallsPerCaller = 50;
 constexpr std::uint64_t kRuns = 100;
 
-// `racing` callers send one poison request in the same millisecond through
-// different entries, and each repeats it every 100 ms through another entry.
-std::size_t CrashesOf(std::size_t racing, Duration gossip, std::uint64_t seed) {
+// `concurrent_callers` callers send the same poison request in the same
+// millisecond through different entries, and each repeats it every 100 ms
+// through a random entry. Returns the number of crashed targets.
+std::size_t CountCrashes(std::size_t concurrent_callers,
+                         Duration gossip,
+                         std::uint64_t seed) {
   const Fingerprint poison{seed};
   QuarantineFleet fleet(kNodes, seed);
   fleet.AddPoison(poison);
   fleet.SetGossip(gossip, 0);
   fleet.Advance(7s);
   SeededRandomSource random(seed);
-  for (int repeat = 0; repeat < kRepeats; ++repeat) {
+  for (int repeat = 0; repeat < kCallsPerCaller; ++repeat) {
     const std::size_t first = random.Index(kNodes);
     const std::size_t target = random.Index(kNodes);
-    for (std::size_t caller = 0; caller < racing; ++caller) {
+    for (std::size_t caller = 0; caller < concurrent_callers; ++caller) {
       fleet.Call((first + caller) % kNodes, (target + caller) % kNodes, poison,
                  10ms);
     }
@@ -301,17 +309,20 @@
   return fleet.TargetsCrashed();
 }
 
-void MeasureCrashes(std::size_t racing, Duration gossip, std::uint64_t seed) {
+void MeasureCrashes(std::size_t concurrent_callers,
+                    Duration gossip,
+                    std::uint64_t seed) {
   std::size_t sum = 0;
-  std::size_t most = 0;
+  std::size_t max_crashes = 0;
   for (std::uint64_t run = 0; run < kRuns; ++run) {
-    const std::size_t crashes = CrashesOf(racing, gossip, seed + run);
+    const std::size_t crashes =
+        CountCrashes(concurrent_callers, gossip, seed + run);
     sum += crashes;
-    most = std::max(most, crashes);
+    max_crashes = std::max(max_crashes, crashes);
   }
-  fmt::print("{:8} {:10.0f} {:10.2f} {:10} {:12}\n", racing,
-             ToMilliseconds(gossip), static_cast<double>(sum) / kRuns, most,
-             racing * kRepeats);
+  fmt::print("{:8} {:10.0f} {:10.2f} {:10} {:12}\n", concurrent_callers,
+             ToMilliseconds(gossip), static_cast<double>(sum) / kRuns,
+             max_crashes, concurrent_callers * kCallsPerCaller);
 }
 
 void RunAdmitted(std::uint64_t seed) {
@@ -321,7 +332,7 @@
   for (const std::size_t nodes : {10, 100, 1100}) {
     for (const Scenario& scenario : Scenarios())
       MeasureOverAdmission(nodes, scenario, seed);
-    MeasureSpray(nodes, seed);
+    MeasureSimultaneousFirstCalls(nodes, seed);
   }
 }
 
@@ -345,7 +356,7 @@
   MeasureBusyHome(1100, seed);
   MeasureDatagrams(11, 10, 20, seed);
   MeasureDatagrams(100, 50, 500, seed);
-  // Workspaces that call so rarely that they are idle in between.
+  // Each workspace calls so rarely that it becomes idle between its calls.
   MeasureDatagrams(100, 2000, 2000, seed);
   MeasureDatagrams(1100, 50, 2000, seed);
   MeasureDatagrams(1100, 200, 2000, seed);
@@ -362,12 +373,12 @@
   fmt::print("{:>8} {:>10} {:>10} {:>10} {:>12}\n", "racing", "gossip ms",
              "mean", "most", "unprotected");
   for (const Duration gossip : {Duration(500ms), Duration(2s)}) {
-    for (const std::size_t racing : {1, 2, 4, 8})
-      MeasureCrashes(racing, gossip, seed);
+    for (const std::size_t concurrent_callers : {1, 2, 4, 8})
+      MeasureCrashes(concurrent_callers, gossip, seed);
   }
 }
 
-// Empty for all sections.
+// Runs one section; all if `section` is empty.
 void RunAll(std::uint64_t seed, std::string_view section) {
   fmt::print("seed {}\n", seed);
   const std::vector<std::pair<std::string_view, void (*)(std::uint64_t)>> all =
--- a/source/benchmarks/measuring_benchmark.cc
+++ b/source/benchmarks/measuring_benchmark.cc
@@ -1,11 +1,12 @@
-// What the measuring budget costs the table, and how much of it is used, by the
-// size of the fleet; and the processor time of one timer of a node.
+// Measures, by the size of the fleet, how many table requests the distribution
+// of the measuring budget causes and how much of the budget is used; also the
+// processor time of one timer call of a node.
 //
 //   measuring_benchmark [seed]
 //
-// One service is run through ten minutes; the table's rates are those of one
-// service times the number of services. All its targets are idle, or one in
-// ten is: the rest is busy and needs no probe.
+// Simulates one service for ten minutes; the table rates are those of this
+// service times the number of services. Either all of its targets are idle, or
+// one in ten: the others are busy and need no probe.
 
 #include <algorithm>
 #include <chrono>
@@ -25,7 +26,7 @@
 
 namespace {
 
-constexpr Duration kRun = std::chrono::minutes(10);
+constexpr Duration kMeasuredTime = std::chrono::minutes(10);
 const ServiceMeasuringBudget kBudget{ServiceName("desk"), 5, 5};
 
 struct FleetShape {
@@ -35,16 +36,17 @@
 
 constexpr int kTimerCalls = 1'000'000;
 
-// Never answers.
-class SilentTable : public TableService {
+// A table that never answers.
+class UnresponsiveTable : public TableService {
  public:
   void Submit(TableRequest request, Callback callback) override {}
 };
 
-Duration LongestGap(const std::vector<ProbeRecord>& records,
-                    std::size_t node,
-                    TimePoint begin,
-                    TimePoint end) {
+// Longest time without a probe of the node's target between `begin` and `end`.
+Duration LongestProbeGap(const std::vector<ProbeRecord>& records,
+                         std::size_t node,
+                         TimePoint begin,
+                         TimePoint end) {
   TimePoint last = begin;
   Duration longest{};
   for (const ProbeRecord& record : records) {
@@ -70,14 +72,14 @@
   const std::size_t probes = fleet.Records().size();
   const std::size_t reads = fleet.reads();
   const std::size_t writes = fleet.writes();
-  fleet.Advance(kRun);
+  fleet.Advance(kMeasuredTime);
   const std::vector<ProbeRecord> records = fleet.Records();
-  const double run = ToSeconds(kRun);
+  const double run = ToSeconds(kMeasuredTime);
   const double used = static_cast<double>(records.size() - probes) /
                       (kBudget.probes_per_second * run);
   Duration gap{};
   for (std::size_t node = 0; node < nodes; node += are_all_idle ? 1 : 10) {
-    gap = std::max(gap, LongestGap(records, node, begin, fleet.now()));
+    gap = std::max(gap, LongestProbeGap(records, node, begin, fleet.now()));
   }
   const NaiveBudget naive(5, std::chrono::seconds(1), 5);
   fmt::print(
@@ -90,10 +92,10 @@
       CountOverBudget(records, naive), ToSeconds(gap));
 }
 
-// A timer at which nothing is due, with the question for the next.
+// Measures `OnTimer` with nothing due, followed by `NextWakeup`.
 void TimeOneTimer(std::uint64_t seed) {
   SeededRandomSource random(seed);
-  SilentTable table;
+  UnresponsiveTable table;
   TimePoint now{std::chrono::hours(1)};
   ProbeScheduler scheduler(NodeId(1), MeasuringSettings(), random);
   const MeasuringTerms terms{{kBudget}};
--- a/source/benchmarks/membership_benchmark.cc
+++ b/source/benchmarks/membership_benchmark.cc
@@ -1,6 +1,7 @@
-// What membership costs and how soon it notices, in virtual time: bytes a
-// second and CPU a node, detection and false suspicions under loss and
-// freezes. Prints one line of key=value pairs a run.
+// Measures the cost and the detection time of membership, in virtual time:
+// bytes per second and processor time per node, time to detect a failure, and
+// false suspicions under datagram loss and suspended processes. Prints one line
+// of key=value pairs for each run.
 //
 //   membership_benchmark SEED MEMBERS...
 
@@ -30,11 +31,11 @@
 constexpr std::size_t kRegions = 3;
 constexpr std::size_t kZones = 8;
 
-// Beyond it, a common start takes the machine too long.
-constexpr std::size_t kMostToJoin = 400;
+// A simultaneous start of a larger fleet takes too long to simulate.
+constexpr std::size_t kMaxJoinMembers = 400;
 
 // IP and UDP headers and the byte of the datagram's kind.
-constexpr std::uint64_t kHeaderBytes = 29;
+constexpr std::uint64_t kDatagramHeaderBytes = 29;
 
 double CpuSeconds() {
   rusage usage{};
@@ -46,7 +47,7 @@
   return seconds_of(usage.ru_utime) + seconds_of(usage.ru_stime);
 }
 
-// Bytes with headers, summed over all nodes, sent and received apart.
+// Sums over all nodes. Bytes include headers.
 struct Traffic {
   std::uint64_t sent = 0;
   std::uint64_t received = 0;
@@ -59,9 +60,9 @@
   for (std::size_t i = 0; i < network.size(); ++i) {
     const MembershipCounters& counters = network.at(i).counters();
     traffic.sent +=
-        counters.bytes_sent + kHeaderBytes * counters.datagrams_sent;
-    traffic.received +=
-        counters.bytes_received + kHeaderBytes * counters.datagrams_received;
+        counters.bytes_sent + kDatagramHeaderBytes * counters.datagrams_sent;
+    traffic.received += counters.bytes_received +
+                        kDatagramHeaderBytes * counters.datagrams_received;
     traffic.suspicions += counters.suspicions;
     traffic.deaths += counters.deaths_declared;
   }
@@ -79,9 +80,9 @@
                      fmt::format("zone-{}", zone), seeds);
 }
 
-// Nodes that all know each other already: meeting from nothing is measured
-// apart, and takes long for a large fleet.
-void AddAcquainted(MemberNetwork& network, std::size_t members) {
+// Adds nodes that already know each other. `MeasureJoin` measures the start
+// without knowledge, which takes long for a large fleet.
+void AddMutuallyKnownNodes(MemberNetwork& network, std::size_t members) {
   for (std::size_t i = 0; i < members; ++i) {
     AddNode(network, members);
   }
@@ -108,18 +109,22 @@
   }
 }
 
-std::size_t CountBelieving(MemberNetwork& network,
+// Number of running nodes that see `subject` as live, or as not live if
+// `is_live` is false.
+std::size_t CountObservers(MemberNetwork& network,
                            std::size_t subject,
                            bool is_live) {
   std::size_t count = 0;
   for (std::size_t i = 0; i < network.size(); ++i) {
-    const bool counts = i != subject && network.IsUp(i) && !network.IsFrozen(i);
-    count += counts && IsLive(network.StateAt(i, subject)) == is_live ? 1 : 0;
+    const bool is_observer =
+        i != subject && network.IsUp(i) && !network.IsFrozen(i);
+    count +=
+        is_observer && IsLive(network.StateAt(i, subject)) == is_live ? 1 : 0;
   }
   return count;
 }
 
-bool KnowAll(MemberNetwork& network) {
+bool AllMembersKnown(MemberNetwork& network) {
   for (std::size_t i = 0; i < network.size(); ++i) {
     if (network.IsUp(i) &&
         network.at(i).table().Live().size() < network.size()) {
@@ -129,7 +134,8 @@
   return true;
 }
 
-// Virtual seconds until `is_done`, looked at each 50 ms; -1 for never.
+// Runs the network until `is_done`, checked every 50 ms. Returns the virtual
+// seconds, or -1 if `limit` passes first.
 double SecondsUntil(MemberNetwork& network,
                     const std::function<bool()>& is_done,
                     Duration limit) {
@@ -138,10 +144,10 @@
                                           : -1;
 }
 
-void PrintSpan(MemberNetwork& network,
-               const char* phase,
-               double loss,
-               Duration span) {
+void RunAndPrintTraffic(MemberNetwork& network,
+                        const char* phase,
+                        double loss,
+                        Duration span) {
   const Traffic before = TrafficOf(network);
   const double cpu_before = CpuSeconds();
   network.Run(span);
@@ -160,14 +166,15 @@
       after.deaths - before.deaths, ToSeconds(span));
 }
 
-// All start at one moment, each with a few addresses.
+// All nodes start at the same time, each with the addresses of up to eight
+// seeds.
 void MeasureJoin(std::size_t members, std::uint64_t seed) {
   MemberNetwork network(seed);
   for (std::size_t i = 0; i < members; ++i) {
     AddNode(network, members);
   }
   const double join_s = SecondsUntil(
-      network, [&] { return KnowAll(network); }, minutes(2));
+      network, [&] { return AllMembersKnown(network); }, minutes(2));
   const Traffic joined = TrafficOf(network);
   fmt::print("members={} phase=all_join seconds={:.2f} sent_bytes_each={}\n",
              members, join_s, joined.sent / members);
@@ -175,28 +182,28 @@
 
 void MeasureDetection(std::size_t members, double loss, std::uint64_t seed) {
   MemberNetwork network(seed);
-  AddAcquainted(network, members);
+  AddMutuallyKnownNodes(network, members);
   network.Run(seconds(20));
   network.SetLoss(loss);
   network.Run(seconds(10));
-  PrintSpan(network, "steady", loss, seconds(30));
+  RunAndPrintTraffic(network, "steady", loss, seconds(30));
   const std::size_t victim = members / 2;
   network.Kill(victim);
   const double first_s = SecondsUntil(
-      network, [&] { return CountBelieving(network, victim, false) > 0; },
+      network, [&] { return CountObservers(network, victim, false) > 0; },
       minutes(2));
   const double rest_s = SecondsUntil(
-      network, [&] { return CountBelieving(network, victim, true) == 0; },
+      network, [&] { return CountObservers(network, victim, true) == 0; },
       minutes(2));
   fmt::print("members={} phase=kill loss={} first_s={:.2f} all_s={:.2f}\n",
              members, loss, first_s, first_s + rest_s);
-  PrintSpan(network, "after_kill", loss, seconds(10));
+  RunAndPrintTraffic(network, "after_kill", loss, seconds(10));
 }
 
-// A twentieth of the nodes stand still for 1.5 s each, in turns.
+// In each of 20 rounds the next twentieth of the nodes is suspended for 1.5 s.
 void MeasureFreezes(std::size_t members, std::uint64_t seed) {
   MemberNetwork network(seed);
-  AddAcquainted(network, members);
+  AddMutuallyKnownNodes(network, members);
   network.Run(seconds(20));
   const Traffic before = TrafficOf(network);
   const std::size_t frozen = std::max<std::size_t>(members / 20, 1);
@@ -220,9 +227,11 @@
           (static_cast<double>(members) * 40));
 }
 
+// Measures how long all nodes need to learn of a new revision, of a node that
+// leaves and of a node that joins.
 void MeasureSpread(std::size_t members, std::uint64_t seed) {
   MemberNetwork network(seed);
-  AddAcquainted(network, members);
+  AddMutuallyKnownNodes(network, members);
   network.Run(seconds(20));
   network.at(1).UpdateSelf(network.now(), network.at(1).self().target,
                            Revision(5));
@@ -239,13 +248,13 @@
       minutes(1));
   network.at(2).Leave(network.now());
   const double leave_s = SecondsUntil(
-      network, [&] { return CountBelieving(network, 2, true) == 0; },
+      network, [&] { return CountObservers(network, 2, true) == 0; },
       minutes(1));
   const std::size_t newcomer = AddNode(network, members);
   const double seen_s = SecondsUntil(
       network,
       [&] {
-        return CountBelieving(network, newcomer, false) <= 0 &&
+        return CountObservers(network, newcomer, false) <= 0 &&
                network.at(newcomer).table().Live().size() == members;
       },
       minutes(1));
@@ -256,36 +265,37 @@
       network.at(newcomer).counters().bytes_received);
 }
 
-// One region of three is cut off for two minutes.
+// One region of three is isolated until both sides see only their own members,
+// and 20 s longer. Then the partition ends.
 void MeasurePartition(std::size_t members, std::uint64_t seed) {
   MemberNetwork network(seed);
-  AddAcquainted(network, members);
+  AddMutuallyKnownNodes(network, members);
   network.Run(seconds(20));
-  std::size_t cut = 0;
+  std::size_t isolated = 0;
   for (std::size_t i = 0; i < members; ++i) {
-    const bool is_cut = network.at(i).self().region == Region("region-0");
-    network.SetSide(i, is_cut ? 1 : 0);
-    cut += is_cut ? 1 : 0;
+    const bool is_isolated = network.at(i).self().region == Region("region-0");
+    network.SetSide(i, is_isolated ? 1 : 0);
+    isolated += is_isolated ? 1 : 0;
   }
   const double split_s = SecondsUntil(
       network,
       [&] {
-        return network.at(0).table().Live().size() == cut &&
-               network.at(1).table().Live().size() == members - cut;
+        return network.at(0).table().Live().size() == isolated &&
+               network.at(1).table().Live().size() == members - isolated;
       },
       minutes(3));
-  PrintSpan(network, "while_cut", 0, seconds(20));
+  RunAndPrintTraffic(network, "while_cut", 0, seconds(20));
   for (std::size_t i = 0; i < members; ++i) {
     network.SetSide(i, 0);
   }
   const Traffic before = TrafficOf(network);
   const double merge_s = SecondsUntil(
-      network, [&] { return KnowAll(network); }, minutes(3));
+      network, [&] { return AllMembersKnown(network); }, minutes(3));
   const Traffic after = TrafficOf(network);
   fmt::print(
       "members={} phase=partition cut={} split_s={:.2f} merge_s={:.2f} "
       "merge_sent_bytes_per_s={:.0f}\n",
-      members, cut, split_s, merge_s,
+      members, isolated, split_s, merge_s,
       static_cast<double>(after.sent - before.sent) /
           (static_cast<double>(members) * std::max(merge_s, 1.0)));
 }
@@ -295,13 +305,13 @@
 
 int main(int argc, char** argv) {
   using namespace bulrushmount;  // NOLINT(google-build-using-namespace)
-  // A long run that is broken off shows what it measured.
+  // Line buffering keeps the results of a long run that is interrupted.
   std::setvbuf(stdout, nullptr, _IOLBF, BUFSIZ);
   SetLogLevel(LogLevel::kError);
   const std::uint64_t seed = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 1;
   for (int i = 2; i < argc; ++i) {
     const std::size_t members = std::strtoull(argv[i], nullptr, 10);
-    if (members <= kMostToJoin) {
+    if (members <= kMaxJoinMembers) {
       MeasureJoin(members, seed);
     }
     for (const double loss : {0.0, 0.05, 0.2}) {
--- a/source/benchmarks/node_network.cc
+++ b/source/benchmarks/node_network.cc
@@ -1,5 +1,5 @@
-// Part of `node_network.h`: the nodes, the queue and the clocks. What becomes
-// of each action is in node_network_actions.cc.
+// Part of `node_network.h`: starts the nodes, runs the event queue and measures
+// processor time. node_network_actions.cc performs the actions of the nodes.
 
 #include "benchmarks/node_network.h"
 
@@ -21,24 +21,27 @@
 constexpr std::uint16_t kTargetPort = 8000;
 constexpr std::uint32_t kSlots = 50;
 constexpr Duration kAnnouncementPeriod = std::chrono::seconds(1);
-constexpr int kClockTrials = 20000;
+constexpr int kClockReads = 20000;
 
-std::uint64_t ThreadNanoseconds() {
+std::uint64_t ThreadCpuNanoseconds() {
   timespec time{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
   return static_cast<std::uint64_t>(time.tv_sec) * 1'000'000'000 +
          static_cast<std::uint64_t>(time.tv_nsec);
 }
 
-std::uint64_t CostOfTheClock() {
-  const std::uint64_t start = ThreadNanoseconds();
-  for (int i = 0; i < kClockTrials; ++i)
-    ThreadNanoseconds();
-  return (ThreadNanoseconds() - start) / kClockTrials;
+std::uint64_t MeasureClockOverhead() {
+  const std::uint64_t start = ThreadCpuNanoseconds();
+  for (int i = 0; i < kClockReads; ++i)
+    ThreadCpuNanoseconds();
+  return (ThreadCpuNanoseconds() - start) / kClockReads;
 }
 
-void Add(EventCost& cost, std::uint64_t taken_ns, std::uint64_t clock_ns) {
-  const std::uint64_t net = taken_ns > clock_ns ? taken_ns - clock_ns : 0;
+void Add(EventCost& cost,
+         std::uint64_t taken_ns,
+         std::uint64_t clock_overhead_ns) {
+  const std::uint64_t net =
+      taken_ns > clock_overhead_ns ? taken_ns - clock_overhead_ns : 0;
   ++cost.count;
   cost.total_ns += net;
   cost.longest_ns = std::max(cost.longest_ns, net);
@@ -71,14 +74,14 @@
       m_random(settings.seed),
       m_now(TimePoint() + std::chrono::hours(1)),
       m_nodes(settings.nodes),
-      m_clock_ns(CostOfTheClock()) {
+      m_clock_overhead_ns(MeasureClockOverhead()) {
   ResetCounts();
 }
 
 NodeNetwork::~NodeNetwork() = default;
 
 void NodeNetwork::StartAll() {
-  m_by_id.clear();
+  m_node_by_id.clear();
   m_attempts.clear();
   for (std::size_t index = 0; index < m_nodes.size(); ++index)
     StartNode(index);
@@ -90,7 +93,7 @@
 
 void NodeNetwork::StartNode(std::size_t index) {
   Node& node = m_nodes[index];
-  ++node.life;
+  ++node.process_number;
   node.is_stopped = false;
   m_wakeups.erase({node.wakeup, index});
   node.wakeup = TimePoint();
@@ -103,8 +106,8 @@
   const std::size_t zone = index % kZones;
   node.settings.zone = AvailabilityZone(fmt::format("zone-{}", zone));
   node.settings.region = Region(fmt::format("region-{}", zone % kRegions));
-  m_by_ip[ip] = index;
-  m_by_id[node.settings.id.value()] = index;
+  m_node_by_ip[ip] = index;
+  m_node_by_id[node.settings.id.value()] = index;
   node.logic = std::make_unique<NodeLogic>(node.settings, *node.random, m_now);
   AnnounceTarget(index);
 }
@@ -126,7 +129,8 @@
   return member;
 }
 
-void NodeNetwork::Acquaint(std::uint64_t incarnation, bool is_warming) {
+void NodeNetwork::DistributeMemberRecords(std::uint64_t incarnation,
+                                          bool is_warming) {
   gossip::Gossip head;
   head.set_version(detail::kGossipVersion);
   head.set_type(gossip::Gossip::SYNC_REPLY);
@@ -173,53 +177,56 @@
 void NodeNetwork::Run(Duration span) {
   const TimePoint end = m_now + span;
   while (true) {
-    const TimePoint step =
-        m_steps.empty() ? TimePoint::max() : m_steps.begin()->first;
+    const TimePoint next_scheduled =
+        m_scheduled.empty() ? TimePoint::max() : m_scheduled.begin()->first;
     const TimePoint wakeup =
         m_wakeups.empty() ? TimePoint::max() : m_wakeups.begin()->first;
-    if (std::min(step, wakeup) > end)
+    if (std::min(next_scheduled, wakeup) > end)
       break;
-    m_now = std::max(m_now, std::min(step, wakeup));
-    if (wakeup < step) {
+    m_now = std::max(m_now, std::min(next_scheduled, wakeup));
+    if (wakeup < next_scheduled) {
       Deliver(m_wakeups.begin()->second, TimerFired());
       continue;
     }
-    Step due = std::move(m_steps.begin()->second);
-    m_steps.erase(m_steps.begin());
-    Take(std::move(due));
+    ScheduledEvent due = std::move(m_scheduled.begin()->second);
+    m_scheduled.erase(m_scheduled.begin());
+    HandleScheduled(std::move(due));
   }
   m_now = end;
 }
 
-void NodeNetwork::Schedule(Duration delay, Step step) {
-  m_steps.emplace(m_now + delay, std::move(step));
+void NodeNetwork::Schedule(Duration delay, ScheduledEvent scheduled) {
+  m_scheduled.emplace(m_now + delay, std::move(scheduled));
 }
 
 void NodeNetwork::Schedule(Duration delay, std::size_t node, NodeEvent event) {
-  Schedule(delay, Step{node, m_nodes[node].life, std::move(event)});
+  Schedule(delay, ScheduledEvent{node, m_nodes[node].process_number,
+                                 std::move(event)});
 }
 
-void NodeNetwork::Take(Step step) {
-  const Node& node = m_nodes[step.node];
-  if (node.life != step.life || node.is_stopped)
+void NodeNetwork::HandleScheduled(ScheduledEvent scheduled) {
+  const Node& node = m_nodes[scheduled.node];
+  if (node.process_number != scheduled.process_number || node.is_stopped)
     return;
-  if (auto* event = std::get_if<NodeEvent>(&step.what))
-    Deliver(step.node, std::move(*event));
-  else if (std::holds_alternative<NextCall>(step.what))
-    SendCall(step.node);
-  else if (std::holds_alternative<Announce>(step.what))
-    AnnounceTarget(step.node);
+  if (auto* event = std::get_if<NodeEvent>(&scheduled.payload))
+    Deliver(scheduled.node, std::move(*event));
+  else if (std::holds_alternative<CallDue>(scheduled.payload))
+    SendCall(scheduled.node);
+  else if (std::holds_alternative<AnnouncementDue>(scheduled.payload))
+    AnnounceTarget(scheduled.node);
   else
-    ServeTable(step.node, std::get<TableArrival>(step.what));
+    ServeTable(scheduled.node,
+               std::get<TableRequestArrived>(scheduled.payload));
 }
 
 std::vector<NodeAction> NodeNetwork::Handle(std::size_t index,
                                             NodeEvent event) {
   const std::size_t kind = event.index();
-  const std::uint64_t start = ThreadNanoseconds();
+  const std::uint64_t start = ThreadCpuNanoseconds();
   std::vector<NodeAction> actions =
       m_nodes[index].logic->Handle(m_now, std::move(event));
-  Add(m_counts.events[kind], ThreadNanoseconds() - start, m_clock_ns);
+  Add(m_counts.events[kind], ThreadCpuNanoseconds() - start,
+      m_clock_overhead_ns);
   return actions;
 }
 
@@ -228,19 +235,22 @@
   if (node.is_stopped)
     return;
   std::vector<NodeAction> actions = Handle(index, std::move(event));
-  AskWakeup(index);
+  UpdateWakeup(index);
   for (NodeAction& action : actions) {
-    std::visit([this, index](
-                   auto&& one) { Do(index, std::forward<decltype(one)>(one)); },
-               std::move(action));
+    std::visit(
+        [this, index](auto&& item) {
+          Perform(index, std::forward<decltype(item)>(item));
+        },
+        std::move(action));
   }
 }
 
-void NodeNetwork::AskWakeup(std::size_t index) {
+void NodeNetwork::UpdateWakeup(std::size_t index) {
   Node& node = m_nodes[index];
-  const std::uint64_t start = ThreadNanoseconds();
+  const std::uint64_t start = ThreadCpuNanoseconds();
   const TimePoint wakeup = node.logic->NextWakeup();
-  Add(m_counts.next_wakeup, ThreadNanoseconds() - start, m_clock_ns);
+  Add(m_counts.next_wakeup, ThreadCpuNanoseconds() - start,
+      m_clock_overhead_ns);
   if (wakeup == node.wakeup)
     return;
   m_wakeups.erase({node.wakeup, index});
@@ -256,7 +266,9 @@
   event.connections = 4 * kSlots;
   event.incarnation = Incarnation(1);
   Deliver(index, event);
-  Schedule(kAnnouncementPeriod, Step{index, m_nodes[index].life, Announce{}});
+  Schedule(
+      kAnnouncementPeriod,
+      ScheduledEvent{index, m_nodes[index].process_number, AnnouncementDue{}});
 }
 
 void NodeNetwork::SetLoad(double calls_per_second) {
@@ -265,7 +277,8 @@
   if (is_running)
     return;
   for (std::size_t i = 0; i < m_nodes.size(); ++i)
-    Schedule(Duration(0), Step{i, m_nodes[i].life, NextCall{}});
+    Schedule(Duration(0),
+             ScheduledEvent{i, m_nodes[i].process_number, CallDue{}});
 }
 
 CallArrived NodeNetwork::MakeCall(std::size_t workspace) {
@@ -285,40 +298,40 @@
     return;
   const double gap_s = -std::log(1 - m_random.Fraction()) / m_calls_per_second;
   Schedule(std::chrono::nanoseconds(static_cast<std::int64_t>(gap_s * 1e9)),
-           Step{index, m_nodes[index].life, NextCall{}});
+           ScheduledEvent{index, m_nodes[index].process_number, CallDue{}});
   const std::size_t workspace = m_random.Index(m_settings.workspaces);
   ++m_counts.calls;
   Deliver(index, MakeCall(workspace));
 }
 
-bool NodeNetwork::ExerciseCall(std::size_t node) {
+bool NodeNetwork::RunCallOnNode(std::size_t node) {
   const auto find = [](const std::vector<NodeAction>& actions, auto is_wanted) {
     return std::find_if(actions.begin(), actions.end(), is_wanted);
   };
-  const std::vector<NodeAction> sent =
+  const std::vector<NodeAction> entry_actions =
       Handle(node, MakeCall(m_random.Index(m_settings.workspaces)));
-  const auto dispatch = find(sent, [](const NodeAction& action) {
+  const auto dispatch = find(entry_actions, [](const NodeAction& action) {
     return std::holds_alternative<DispatchAttempt>(action);
   });
-  if (dispatch == sent.end())
+  if (dispatch == entry_actions.end())
     return false;
   const auto& attempt = std::get<DispatchAttempt>(*dispatch);
   const LoadReport load{1, 0, kSlots, std::chrono::milliseconds(10)};
   const WorkId work(++m_last_id);
-  const std::vector<NodeAction> handed =
+  const std::vector<NodeAction> owner_actions =
       Handle(node, WorkArrived{work, attempt.head});
-  const auto hand = find(handed, [](const NodeAction& action) {
+  const auto hand_over = find(owner_actions, [](const NodeAction& action) {
     return std::holds_alternative<HandToTarget>(action);
   });
   m_now += std::chrono::microseconds(50);
-  if (hand != handed.end()) {
+  if (hand_over != owner_actions.end()) {
     Handle(node, TargetAnswerBegun{work, 200, false});
     Handle(node, TargetAnswerEnded{work});
   }
   Handle(node, AttemptAnswerBegun{attempt.call, attempt.attempt, 200, load});
   Handle(node,
          AttemptAnswerEnded{attempt.call, attempt.attempt, load, std::nullopt});
-  return hand != handed.end();
+  return hand_over != owner_actions.end();
 }
 
 void NodeNetwork::StopZone(std::size_t zone) {
--- a/source/benchmarks/node_network.h
+++ b/source/benchmarks/node_network.h
@@ -1,6 +1,7 @@
-// A fleet of whole nodes in virtual time that counts what each costs: processor
-// time by event, datagrams by kind, table requests by prefix. Unlike the unit
-// tests' fleet it keeps a queue of wakeups, so that a thousand nodes can run.
+// Simulates a fleet of complete nodes in virtual time and measures the cost of
+// each: processor time by event, datagrams by kind, table requests by key
+// prefix. Unlike the fleet of the unit tests it keeps the wakeups in a queue,
+// so that it can run a thousand nodes.
 
 #ifndef BULRUSHMOUNT_BENCHMARKS_NODE_NETWORK_H_
 #define BULRUSHMOUNT_BENCHMARKS_NODE_NETWORK_H_
@@ -26,7 +27,8 @@
 
 namespace bulrushmount {
 
-// Processor time of one kind of event, without that of reading the clock.
+// Processor time spent on one kind of event, without the time for reading the
+// clock.
 struct EventCost {
   std::uint64_t count = 0;
   std::uint64_t total_ns = 0;
@@ -36,7 +38,7 @@
 inline constexpr std::size_t kEventKinds = std::variant_size_v<NodeEvent>;
 inline constexpr std::size_t kDatagramKinds = 5;
 
-// Bytes are counted with IP and UDP headers.
+// Bytes include IP and UDP headers.
 struct DatagramCount {
   std::uint64_t datagrams = 0;
   std::uint64_t bytes = 0;
@@ -53,18 +55,20 @@
   std::uint64_t rows_written = 0;
 };
 
-// Everything since the last ResetCounts().
+// Counts since the last `ResetCounts`.
 struct NetworkCounts {
   std::array<EventCost, kEventKinds> events{};
-  // NodeLogic::NextWakeup, asked once after each event.
+  // Cost of `NodeLogic::NextWakeup`, which is called once after each event.
   EventCost next_wakeup;
+  // By node.
   std::vector<NodeTraffic> traffic;
+  // By key prefix.
   std::map<std::string, TableCount> table;
-  std::uint64_t most_reads_in_a_second = 0;
+  std::uint64_t max_reads_per_second = 0;
   std::uint64_t calls = 0;
-  // Final refusals by reason, and refusals by owners, after which the entry
-  // may try another.
+  // Refusals sent to callers, by reason.
   std::map<std::string, std::uint64_t> refused;
+  // Attempts refused by owners. The entry may then try another owner.
   std::uint64_t refused_by_owners = 0;
   std::uint64_t lost_attempts = 0;
   std::uint64_t answered = 0;
@@ -85,29 +89,29 @@
   explicit NodeNetwork(const NetworkSettings& settings);
   ~NodeNetwork();
 
-  // Creates all nodes; on a later call anew, with new ids, beside the same
-  // targets and with the same table.
+  // Starts a process for each node. A further call replaces all processes by
+  // new ones with new ids; the targets and the table stay.
   void StartAll();
-  // Tells each node the records of all others, as they are after
-  // `incarnation - 1` changes of themselves.
-  void Acquaint(std::uint64_t incarnation, bool is_warming);
-  // Writes one contract for each workspace by the first node; false if one was
-  // not answered in 30 s.
+  // Delivers the member records of all nodes to each node, as of `incarnation`.
+  void DistributeMemberRecords(std::uint64_t incarnation, bool is_warming);
+  // Writes one contract for each workspace through the first node. Returns
+  // false if a write failed or got no answer within 30 s.
   bool WriteContracts();
 
   void Run(Duration span);
-  // Calls a second at each entry, Poisson; 0 ends them.
+  // Sets the rate of the Poisson process of calls at each entry; 0 stops it.
   void SetLoad(double calls_per_second);
-  // One call at a node's entry and one work at its owner side, each answered at
-  // once, with no other node in between: their cost with warm caches. What the
-  // node sends meanwhile is dropped. False if either was refused.
-  bool ExerciseCall(std::size_t node);
+  // Runs one call through the entry side of a node and one work through its
+  // owner side, without another node and with immediate answers. This measures
+  // their cost with warm caches. Drops everything else that the node sends.
+  // Returns false if the call or the work was refused.
+  bool RunCallOnNode(std::size_t node);
   void SetTableDelay(Duration delay) { m_table_delay = delay; }
-  // Machines that are gone without a word.
+  // Stops all nodes of the zone without notice to the others.
   void StopZone(std::size_t zone);
 
   std::size_t CountReady() const;
-  // Live members as the node itself counts them.
+  // Number of live members according to the node's own metrics.
   std::size_t MembersAt(std::size_t node) const;
   std::size_t CountRunning() const;
   bool IsRunning(std::size_t node) const;
@@ -119,30 +123,37 @@
   void ResetCounts();
 
  private:
+  // A node and its current process.
   struct Node {
     NodeSettings settings;
     std::unique_ptr<SeededRandomSource> random;
     std::unique_ptr<NodeLogic> logic;
     TimePoint wakeup;
     bool is_stopped = false;
-    std::uint64_t life = 0;
+    // Increments with each start.
+    std::uint64_t process_number = 0;
   };
+  // The attempt of an entry that a work belongs to.
   struct Attempt {
     std::size_t entry = 0;
     CallId call;
     AttemptNumber attempt;
   };
-  // What is due at a moment: an event for a node, or one of the network's own.
-  struct NextCall {};
-  struct Announce {};
-  struct TableArrival {
+  // The next call of the load is due at a node.
+  struct CallDue {};
+  // The next announcement of a target is due.
+  struct AnnouncementDue {};
+  struct TableRequestArrived {
     TableRequestId id;
     TableRequest request;
   };
-  struct Step {
+  // An event of a node or of the simulation. It is dropped if the node's
+  // process has stopped or was replaced before the event is due.
+  struct ScheduledEvent {
     std::size_t node = 0;
-    std::uint64_t life = 0;
-    std::variant<NodeEvent, NextCall, Announce, TableArrival> what;
+    std::uint64_t process_number = 0;
+    std::variant<NodeEvent, CallDue, AnnouncementDue, TableRequestArrived>
+        payload;
   };
 
   static std::string ServiceOf(std::size_t node, std::size_t services);
@@ -150,50 +161,54 @@
                   std::uint64_t incarnation,
                   bool is_warming) const;
   void StartNode(std::size_t index);
-  void Schedule(Duration delay, Step step);
+  void Schedule(Duration delay, ScheduledEvent scheduled);
   void Schedule(Duration delay, std::size_t node, NodeEvent event);
-  void Take(Step step);
+  void HandleScheduled(ScheduledEvent scheduled);
   void Deliver(std::size_t node, NodeEvent event);
-  void AskWakeup(std::size_t index);
+  void UpdateWakeup(std::size_t index);
   CallArrived MakeCall(std::size_t workspace);
+  // Passes the event to the node's logic and measures the processor time.
   std::vector<NodeAction> Handle(std::size_t node, NodeEvent event);
   void SendCall(std::size_t node);
   void AnnounceTarget(std::size_t node);
-  void ServeTable(std::size_t node, const TableArrival& arrival);
+  void ServeTable(std::size_t node, const TableRequestArrived& arrival);
   void CountTable(const TableRequest& request);
-  Duration Delay(std::size_t from, std::size_t to) const;
-
-  void Do(std::size_t node, DispatchAttempt action);
-  void Do(std::size_t node, const HandToTarget& action);
-  void Do(std::size_t node, const RefuseWork& action);
-  void Do(std::size_t node, const RelayWork& action);
-  void Do(std::size_t node, const FailWork& action);
-  void Do(std::size_t node, const AnswerCaller& action);
-  void Do(std::size_t node, const SendProbe& action);
-  void Do(std::size_t node, SendDatagram action);
-  void Do(std::size_t node, SubmitTableRequest action);
-  void Do(std::size_t node, const AnswerOperator& action);
-  // Of no consequence here: nothing is cancelled, and bodies are not modelled.
+  Duration DelayBetween(std::size_t from, std::size_t to) const;
+
+  void Perform(std::size_t node, DispatchAttempt action);
+  void Perform(std::size_t node, const HandToTarget& action);
+  void Perform(std::size_t node, const RefuseWork& action);
+  void Perform(std::size_t node, const RelayWork& action);
+  void Perform(std::size_t node, const FailWork& action);
+  void Perform(std::size_t node, const AnswerCaller& action);
+  void Perform(std::size_t node, const SendProbe& action);
+  void Perform(std::size_t node, SendDatagram action);
+  void Perform(std::size_t node, SubmitTableRequest action);
+  void Perform(std::size_t node, const AnswerOperator& action);
+  // Ignores the other actions: nothing is cancelled here, and bodies are not
+  // simulated.
   template <typename Other>
-  void Do(std::size_t, const Other&) {}
+  void Perform(std::size_t, const Other&) {}
 
   NetworkSettings m_settings;
   SeededRandomSource m_random;
   TimePoint m_now;
   std::vector<Node> m_nodes;
-  std::unordered_map<std::string, std::size_t> m_by_ip;
-  std::unordered_map<std::uint64_t, std::size_t> m_by_id;
-  std::multimap<TimePoint, Step> m_steps;
+  std::unordered_map<std::string, std::size_t> m_node_by_ip;
+  std::unordered_map<std::uint64_t, std::size_t> m_node_by_id;
+  std::multimap<TimePoint, ScheduledEvent> m_scheduled;
   std::set<std::pair<TimePoint, std::size_t>> m_wakeups;
+  // By the id of the work.
   std::unordered_map<std::uint64_t, Attempt> m_attempts;
   InMemoryTable m_table;
   Duration m_table_delay = std::chrono::milliseconds(3);
   double m_calls_per_second = 0;
   std::optional<AnswerOperator> m_operator_answer;
   std::uint64_t m_last_id = 0;
-  std::uint64_t m_clock_ns = 0;
+  std::uint64_t m_clock_overhead_ns = 0;
   NetworkCounts m_counts;
-  std::int64_t m_second = 0;
+  // The second of virtual time in which `m_reads_in_second` were counted.
+  std::int64_t m_current_second = 0;
   std::uint64_t m_reads_in_second = 0;
 };
 
--- a/source/benchmarks/node_network_actions.cc
+++ b/source/benchmarks/node_network_actions.cc
@@ -1,4 +1,4 @@
-// Part of `node_network.h`: what becomes of each action of a node.
+// Part of `node_network.h`: performs the actions of the nodes.
 
 #include <algorithm>
 
@@ -8,18 +8,19 @@
 
 namespace {
 
-constexpr Duration kWithinRegion = std::chrono::microseconds(500);
-constexpr Duration kBetweenRegions = std::chrono::milliseconds(20);
+constexpr Duration kDelayWithinRegion = std::chrono::microseconds(500);
+constexpr Duration kDelayBetweenRegions = std::chrono::milliseconds(20);
 constexpr Duration kServiceTime = std::chrono::milliseconds(10);
-constexpr std::uint64_t kHeaderBytes = 28;
+constexpr std::uint64_t kIpUdpHeaderBytes = 28;
 constexpr int kOk = 200;
 
-void Count(std::array<DatagramCount, kDatagramKinds>& counts,
-           const std::string& bytes) {
+void CountDatagram(std::array<DatagramCount, kDatagramKinds>& counts,
+                   const std::string& bytes) {
+  // The first byte of a datagram is its kind.
   const std::size_t kind = std::min<std::size_t>(
       static_cast<unsigned char>(bytes.front()), kDatagramKinds - 1);
   ++counts[kind].datagrams;
-  counts[kind].bytes += bytes.size() + kHeaderBytes;
+  counts[kind].bytes += bytes.size() + kIpUdpHeaderBytes;
 }
 
 std::string PrefixOf(const std::string& key) {
@@ -28,55 +29,55 @@
 
 }  // namespace
 
-Duration NodeNetwork::Delay(std::size_t from, std::size_t to) const {
-  const bool is_near =
+Duration NodeNetwork::DelayBetween(std::size_t from, std::size_t to) const {
+  const bool is_same_region =
       m_nodes[from].settings.region == m_nodes[to].settings.region;
-  return is_near ? kWithinRegion : kBetweenRegions;
+  return is_same_region ? kDelayWithinRegion : kDelayBetweenRegions;
 }
 
-void NodeNetwork::Do(std::size_t node, DispatchAttempt action) {
-  const auto found = m_by_id.find(action.owner.value());
-  if (found == m_by_id.end() || m_nodes[found->second].is_stopped) {
+void NodeNetwork::Perform(std::size_t node, DispatchAttempt action) {
+  const auto found = m_node_by_id.find(action.owner.value());
+  if (found == m_node_by_id.end() || m_nodes[found->second].is_stopped) {
     ++m_counts.lost_attempts;
     AttemptLost lost;
     lost.call = action.call;
     lost.attempt = action.attempt;
     lost.is_certainly_not_run = true;
     lost.reason = Reason::kNodeUnreachable;
-    Schedule(kWithinRegion, node, lost);
+    Schedule(kDelayWithinRegion, node, lost);
     return;
   }
   const std::uint64_t work = ++m_last_id;
   m_attempts[work] = Attempt{node, action.call, action.attempt};
-  Schedule(Delay(node, found->second), found->second,
+  Schedule(DelayBetween(node, found->second), found->second,
            WorkArrived{WorkId(work), std::move(action.head)});
 }
 
-void NodeNetwork::Do(std::size_t node, const HandToTarget& action) {
+void NodeNetwork::Perform(std::size_t node, const HandToTarget& action) {
   Schedule(kServiceTime, node, TargetAnswerBegun{action.work, kOk, false});
   Schedule(kServiceTime, node, TargetAnswerEnded{action.work});
 }
 
-void NodeNetwork::Do(std::size_t node, const RefuseWork& action) {
+void NodeNetwork::Perform(std::size_t node, const RefuseWork& action) {
   ++m_counts.refused_by_owners;
   const auto found = m_attempts.find(action.work.value());
   if (found == m_attempts.end())
     return;
   const Attempt attempt = found->second;
   m_attempts.erase(found);
-  Schedule(Delay(node, attempt.entry), attempt.entry,
+  Schedule(DelayBetween(node, attempt.entry), attempt.entry,
            AttemptRefused{attempt.call, attempt.attempt, action.reason,
                           action.load});
 }
 
-void NodeNetwork::Do(std::size_t node, const RelayWork& action) {
+void NodeNetwork::Perform(std::size_t node, const RelayWork& action) {
   const auto found = m_attempts.find(action.work.value());
   if (found == m_attempts.end())
     return;
   const Attempt attempt = found->second;
   m_attempts.erase(found);
   ++m_counts.answered;
-  const Duration delay = Delay(node, attempt.entry);
+  const Duration delay = DelayBetween(node, attempt.entry);
   Schedule(delay, attempt.entry,
            AttemptAnswerBegun{attempt.call, attempt.attempt, kOk, action.load});
   Schedule(delay, attempt.entry,
@@ -84,7 +85,7 @@
                               std::nullopt});
 }
 
-void NodeNetwork::Do(std::size_t node, const FailWork& action) {
+void NodeNetwork::Perform(std::size_t node, const FailWork& action) {
   const auto found = m_attempts.find(action.work.value());
   if (found == m_attempts.end())
     return;
@@ -94,36 +95,38 @@
   lost.call = attempt.call;
   lost.attempt = attempt.attempt;
   lost.reason = action.reason;
-  Schedule(Delay(node, attempt.entry), attempt.entry, lost);
+  Schedule(DelayBetween(node, attempt.entry), attempt.entry, lost);
 }
 
-void NodeNetwork::Do(std::size_t, const AnswerCaller& action) {
+void NodeNetwork::Perform(std::size_t, const AnswerCaller& action) {
   ++m_counts.refused[std::string(TraitsOf(action.reason).token)];
 }
 
-void NodeNetwork::Do(std::size_t node, const SendProbe& action) {
+void NodeNetwork::Perform(std::size_t node, const SendProbe& action) {
   Schedule(kServiceTime, node, ProbeAnswered{action.probe, true, kServiceTime});
 }
 
-void NodeNetwork::Do(std::size_t node, SendDatagram action) {
-  Count(m_counts.traffic[node].sent, action.bytes);
-  const auto found = m_by_ip.find(action.to.ip);
-  if (found == m_by_ip.end() || m_nodes[found->second].is_stopped)
+void NodeNetwork::Perform(std::size_t node, SendDatagram action) {
+  CountDatagram(m_counts.traffic[node].sent, action.bytes);
+  const auto found = m_node_by_ip.find(action.to.ip);
+  if (found == m_node_by_ip.end() || m_nodes[found->second].is_stopped)
     return;
-  Count(m_counts.traffic[found->second].received, action.bytes);
-  Schedule(Delay(node, found->second), found->second,
+  CountDatagram(m_counts.traffic[found->second].received, action.bytes);
+  Schedule(DelayBetween(node, found->second), found->second,
            DatagramArrived{m_nodes[node].settings.gossip_endpoint,
                            std::move(action.bytes)});
 }
 
-void NodeNetwork::Do(std::size_t node, SubmitTableRequest action) {
+void NodeNetwork::Perform(std::size_t node, SubmitTableRequest action) {
   CountTable(action.body);
   Schedule(m_table_delay / 2,
-           Step{node, m_nodes[node].life,
-                TableArrival{action.request, std::move(action.body)}});
+           ScheduledEvent{
+               node, m_nodes[node].process_number,
+               TableRequestArrived{action.request, std::move(action.body)}});
 }
 
-void NodeNetwork::ServeTable(std::size_t node, const TableArrival& arrival) {
+void NodeNetwork::ServeTable(std::size_t node,
+                             const TableRequestArrived& arrival) {
   Schedule(m_table_delay / 2, node,
            TableReplied{arrival.id, m_table.Apply(arrival.request)});
 }
@@ -144,15 +147,15 @@
   const auto second =
       std::chrono::floor<std::chrono::seconds>(m_now.time_since_epoch())
           .count();
-  if (second != m_second)
+  if (second != m_current_second)
     m_reads_in_second = 0;
-  m_second = second;
+  m_current_second = second;
   ++m_reads_in_second;
-  m_counts.most_reads_in_a_second =
-      std::max(m_counts.most_reads_in_a_second, m_reads_in_second);
+  m_counts.max_reads_per_second =
+      std::max(m_counts.max_reads_per_second, m_reads_in_second);
 }
 
-void NodeNetwork::Do(std::size_t, const AnswerOperator& action) {
+void NodeNetwork::Perform(std::size_t, const AnswerOperator& action) {
   m_operator_answer = action;
 }
 
--- a/source/benchmarks/policy_benchmark.cc
+++ b/source/benchmarks/policy_benchmark.cc
@@ -1,7 +1,9 @@
-// Compares routing and admission policies on small fake targets, all on the
-// same calls: ours, the baselines, the naive form and a clairvoyant queue.
-// Usage: policy_benchmark [--plots FOLDER] [seed [shape [scenario]]]; prints
-// ratios first, then the goals; shape and scenario may be parts of names.
+// Compares routing and admission policies on simulated targets with the same
+// calls: those of this project ("ours"), baselines, random routing without
+// admission ("naive"), and a clairvoyant queue as reference.
+// Usage: policy_benchmark [--plots FOLDER] [seed [shape [scenario]]]
+// Prints the ratios, then the goals. Shape and scenario select all names that
+// contain them.
 
 #include <algorithm>
 #include <chrono>
@@ -57,13 +59,13 @@
      .load = 0.5,
      .fault = Fault::kBursts,
      .burst = 50ms},
-    // One workspace within its limit, alone and beside one over its limit.
+    // A workspace within its limit, alone and together with one over its limit.
     {.name = "alone-40", .load = 0.4},
     {.name = "beside-flood", .load = 0.4, .flood = 1.0, .flood_limit = 0.3},
     {.name = "lying-slow",
      .load = 0.6,
      .fault = Fault::kSlow,
-     .is_lying = true},
+     .is_reporting_idle = true},
     {.name = "probes-0", .load = 0.7, .probes = 0},
     {.name = "probes-50", .load = 0.7, .probes = 50},
     {.name = "probes-0-slow", .load = 0.6, .fault = Fault::kSlow, .probes = 0},
@@ -97,15 +99,15 @@
   return std::make_unique<Picker>();
 }
 
-std::unique_ptr<TargetPicker> MakeOurs(const Shape& shape) {
+std::unique_ptr<TargetPicker> MakePowerOfChoices(const Shape& shape) {
   PowerOfChoicesSettings settings;
   settings.round_trip[1] = 2 * shape.zone_delay;
   return std::make_unique<PowerOfChoicesPicker>(settings);
 }
 
 const std::vector<Policy> kPolicies = {
-    {"ours", MakeOurs, MakeAdmission},
-    {"ours-fixed", MakeOurs, MakeFixedAdmission},
+    {"ours", MakePowerOfChoices, MakeAdmission},
+    {"ours-fixed", MakePowerOfChoices, MakeFixedAdmission},
     {"random", MakeBaseline<RandomPicker>, MakeAdmission},
     {"round-robin", MakeBaseline<RoundRobinPicker>, MakeAdmission},
     {"least-reported", MakeBaseline<LeastReportedPicker>, MakeAdmission},
@@ -115,10 +117,10 @@
      .has_limits = false},
 };
 
-// With a load endpoint that lies: pickers that believe it.
-const std::vector<Policy> kMisledPolicies = {
+// For load endpoints that falsely report idle: policies that trust them.
+const std::vector<Policy> kTrustingPolicies = {
     {.name = "ours-misled",
-     .make_picker = MakeOurs,
+     .make_picker = MakePowerOfChoices,
      .make_admission = MakeAdmission,
      .trusts_endpoints = true},
     {.name = "least-polled",
@@ -127,23 +129,24 @@
      .trusts_endpoints = true},
 };
 
-// With two workspaces: the fair queue alone, without the workspaces' limits.
-const std::vector<Policy> kLimitlessPolicies = {
+// For two workspaces: only the fair queue, without the workspace limits.
+const std::vector<Policy> kPoliciesWithoutLimits = {
     {.name = "ours-no-limits",
-     .make_picker = MakeOurs,
+     .make_picker = MakePowerOfChoices,
      .make_admission = MakeAdmission,
      .has_limits = false},
 };
 
 bool HasBaselinesOnly(const Scenario& scenario) {
-  return !scenario.is_lying && scenario.flood == 0;
+  return !scenario.is_reporting_idle && scenario.flood == 0;
 }
 
 std::vector<Policy> PoliciesFor(const Scenario& scenario) {
   std::vector<Policy> policies = kPolicies;
   if (HasBaselinesOnly(scenario))
     return policies;
-  const auto& extras = scenario.is_lying ? kMisledPolicies : kLimitlessPolicies;
+  const auto& extras =
+      scenario.is_reporting_idle ? kTrustingPolicies : kPoliciesWithoutLimits;
   policies.insert(policies.end(), extras.begin(), extras.end());
   return policies;
 }
--- a/source/benchmarks/policy_control.cc
+++ b/source/benchmarks/policy_control.cc
@@ -1,5 +1,5 @@
-// Part of `policy_run.h`: what stands around a call's way, the workspaces'
-// limits and the targets' lives with their probes.
+// Part of `policy_run.h`: the limits of the workspaces, and the life cycles of
+// the targets with their probes.
 
 #include "benchmarks/policy_run.h"
 
@@ -9,16 +9,19 @@
 
 namespace {
 
-const WorkspaceName kMeasured("within");
-const WorkspaceName kFlooding("over");
+const WorkspaceName kMeasuredWorkspace("within");
+const WorkspaceName kFloodingWorkspace("over");
 constexpr std::uint32_t kInFlightLimit = 100000;
-// The fleet is no new one. In one that starts all at once a home lends nothing
-// in its first 5 s, and entries have their small allowance alone.
-constexpr Duration kLimitersRunFor = std::chrono::seconds(10);
-// Of a health endpoint: it answers after this time, and what it says is old.
+// Time for which the limiters run before the first call. In a fleet that has
+// just started, a home lends nothing for 5 s, and entries have only their small
+// local allowance.
+constexpr Duration kLimiterWarmUp = std::chrono::seconds(10);
+// Response time of a health endpoint, and the delay until its answers show a
+// fault.
 constexpr Duration kProbeTime = std::chrono::milliseconds(6);
 constexpr Duration kHealthLag = std::chrono::milliseconds(500);
-constexpr Duration kLifeStep = std::chrono::milliseconds(5);
+// Minimum time between two updates of a life cycle by its timer.
+constexpr Duration kLifecycleStep = std::chrono::milliseconds(5);
 
 WorkspaceLimits LimitsOf(double units_per_second) {
   return {.units_per_second = units_per_second,
@@ -29,54 +32,59 @@
 }  // namespace
 
 WorkspaceName PolicyRun::WorkspaceOf(const Arrival& arrival) {
-  return arrival.is_flood ? kFlooding : kMeasured;
+  return arrival.is_flood ? kFloodingWorkspace : kMeasuredWorkspace;
 }
 
-void PolicyRun::PlanLimits(std::uint64_t seed) {
+void PolicyRun::SetUpLimits(std::uint64_t seed) {
   if (m_scenario.flood == 0 || !m_has_limits)
     return;
   m_limiters.emplace(m_shape.nodes, seed);
   const double capacity = CapacityOf(m_shape);
-  // The one within its limit has twice what it offers.
-  m_limiters->SetLimits(kMeasured, LimitsOf(2 * m_scenario.load * capacity));
-  m_limiters->SetLimits(kFlooding, LimitsOf(m_scenario.flood_limit * capacity));
-  m_limiters->Advance(kLimitersRunFor);
-  m_limiters_ahead = m_limiters->now() - m_now;
-  At(m_now + LimiterFleet::kStep, [this] { StepLimits(); });
+  // The limit of the first workspace is twice its load.
+  m_limiters->SetLimits(kMeasuredWorkspace,
+                        LimitsOf(2 * m_scenario.load * capacity));
+  m_limiters->SetLimits(kFloodingWorkspace,
+                        LimitsOf(m_scenario.flood_limit * capacity));
+  m_limiters->Advance(kLimiterWarmUp);
+  m_limiter_clock_offset = m_limiters->now() - m_now;
+  ScheduleAt(m_now + LimiterFleet::kStep, [this] { AdvanceLimits(); });
 }
 
-void PolicyRun::StepLimits() {
+void PolicyRun::AdvanceLimits() {
   m_limiters->Advance(LimiterFleet::kStep);
   if (m_now < kArrivalsEnd)
-    At(m_now + LimiterFleet::kStep, [this] { StepLimits(); });
+    ScheduleAt(m_now + LimiterFleet::kStep, [this] { AdvanceLimits(); });
 }
 
-void PolicyRun::PlanLives() {
+void PolicyRun::StartLifecycles() {
   if (!m_scenario.probes)
     return;
   for (std::size_t index = 0; index < m_targets.size(); ++index) {
     Target& target = m_targets[index];
-    target.life = std::make_unique<TargetLifecycle>(TargetLifecycleSettings{});
-    target.life->OnAnnounced(m_now, {kService, m_shape.slots, Incarnation(1)});
-    At(m_now + kLifeStep, [this, index] { StepLife(index); });
+    target.lifecycle =
+        std::make_unique<TargetLifecycle>(TargetLifecycleSettings{});
+    target.lifecycle->OnAnnounced(m_now,
+                                  {kService, m_shape.slots, Incarnation(1)});
+    ScheduleAt(m_now + kLifecycleStep,
+               [this, index] { UpdateLifecycle(index); });
     if (*m_scenario.probes > 0)
-      At(m_now + kLifeStep, [this, index] { Probe(index); });
+      ScheduleAt(m_now + kLifecycleStep, [this, index] { Probe(index); });
   }
 }
 
-void PolicyRun::PlanLifeTimer(std::size_t index) {
+void PolicyRun::ScheduleLifecycleTimer(std::size_t index) {
   Target& target = m_targets[index];
   const TimePoint wakeup =
-      std::max(target.life->NextWakeup(), m_now + kLifeStep);
+      std::max(target.lifecycle->NextWakeup(), m_now + kLifecycleStep);
   if (wakeup >= kArrivalsEnd ||
-      (target.life_timer && *target.life_timer <= wakeup))
+      (target.lifecycle_timer && *target.lifecycle_timer <= wakeup))
     return;
-  target.life_timer = wakeup;
-  At(wakeup, [this, index, wakeup] {
-    if (m_targets[index].life_timer != wakeup)
+  target.lifecycle_timer = wakeup;
+  ScheduleAt(wakeup, [this, index, wakeup] {
+    if (m_targets[index].lifecycle_timer != wakeup)
       return;
-    m_targets[index].life_timer.reset();
-    StepLife(index);
+    m_targets[index].lifecycle_timer.reset();
+    UpdateLifecycle(index);
   });
 }
 
@@ -84,30 +92,30 @@
   if (m_now >= kArrivalsEnd)
     return;
   const bool is_failing = m_fault == Fault::kFailing &&
-                          IsStruck(m_shape, m_fault, index) &&
+                          IsAffected(m_shape, m_fault, index) &&
                           m_now >= kFaultAt + kHealthLag;
-  // It runs on the target's machine, beside the requests.
+  // The probe runs on the target's machine and adds to its load.
   ++m_targets[index].running;
-  At(m_now + kProbeTime, [this, index, is_failing] {
+  ScheduleAt(m_now + kProbeTime, [this, index, is_failing] {
     --m_targets[index].running;
-    m_targets[index].life->OnProbe(m_now, !is_failing);
-    StepLife(index);
+    m_targets[index].lifecycle->OnProbe(m_now, !is_failing);
+    UpdateLifecycle(index);
   });
-  At(m_now + FromSeconds(1 / *m_scenario.probes),
-     [this, index] { Probe(index); });
+  ScheduleAt(m_now + FromSeconds(1 / *m_scenario.probes),
+             [this, index] { Probe(index); });
 }
 
-void PolicyRun::StepLife(std::size_t index) {
+void PolicyRun::UpdateLifecycle(std::size_t index) {
   Target& target = m_targets[index];
-  if (target.life->NextWakeup() <= m_now)
-    target.life->OnTimer(m_now);
-  PlanLifeTimer(index);
-  const bool is_serving = target.life->IsServing();
+  if (target.lifecycle->NextWakeup() <= m_now)
+    target.lifecycle->OnTimer(m_now);
+  ScheduleLifecycleTimer(index);
+  const bool is_serving = target.lifecycle->IsServing();
   if (is_serving == target.is_reported_serving)
     return;
   target.is_reported_serving = is_serving;
   for (std::size_t entry = 0; entry < m_entries.size(); ++entry) {
-    At(m_now + FromSeconds(m_random.Fraction()), [this, entry, index] {
+    ScheduleAt(m_now + FromSeconds(m_random.Fraction()), [this, entry, index] {
       TargetPicker& picker = *m_entries[entry].picker;
       if (m_targets[index].is_reported_serving)
         picker.Update(CandidateFor(entry, index));
--- a/source/benchmarks/policy_plots.cc
+++ b/source/benchmarks/policy_plots.cc
@@ -1,4 +1,4 @@
-// Part of `policy_plots.h`.
+// Part of `policy_plots.h`: selects the results and draws the charts.
 
 #include "benchmarks/policy_plots.h"
 
@@ -42,7 +42,8 @@
 
 struct Chart {
   std::string title;
-  // At the top of the plot; taller bars are cut, their figures are not.
+  // Value at the top of the plot. Larger bars are cut off there, but their
+  // labels show the full value.
   double top = 1;
   double grid_step = 1;
   int decimals = 2;
@@ -50,7 +51,7 @@
 
 struct Group {
   std::string_view name;
-  // As many as there are series.
+  // One value for each series.
   std::vector<double> values;
 };
 
@@ -144,21 +145,22 @@
   return svg + "</svg>\n";
 }
 
-// Empty if the scenario was not run with all the policies.
+// One value for each series; empty if the scenario was not run with all of
+// their policies and the clairvoyant queue.
 std::vector<double> Values(const ShapeResult& results,
                            std::string_view scenario,
                            std::span<const Series> series,
                            bool is_goodput) {
   std::vector<double> values;
-  const Result* bound = results.Find(scenario, "clairvoyant");
+  const Result* reference = results.Find(scenario, "clairvoyant");
   for (const Series& item : series) {
     const Result* result = results.Find(scenario, item.policy);
-    if (!result || !bound)
+    if (!result || !reference)
       return {};
-    values.push_back(is_goodput
-                         ? 100.0 * static_cast<double>(result->good_ms.size()) /
-                               static_cast<double>(result->calls)
-                         : Quantile(*result, 0.99) / Quantile(*bound, 0.99));
+    values.push_back(
+        is_goodput ? 100.0 * static_cast<double>(result->good_ms.size()) /
+                         static_cast<double>(result->calls)
+                   : Quantile(*result, 0.99) / Quantile(*reference, 0.99));
   }
   return values;
 }
--- a/source/benchmarks/policy_plots.h
+++ b/source/benchmarks/policy_plots.h
@@ -1,4 +1,4 @@
-// What the policy benchmark measured, as SVG bars.
+// Draws the results of the policy benchmark as SVG bar charts.
 
 #ifndef BULRUSHMOUNT_BENCHMARKS_POLICY_PLOTS_H_
 #define BULRUSHMOUNT_BENCHMARKS_POLICY_PLOTS_H_
@@ -10,7 +10,7 @@
 namespace bulrushmount {
 
 // Writes p99-SHAPE.svg and goodput-SHAPE.svg into `folder`, which must exist.
-// Scenarios that were not run are left out.
+// Omits scenarios that were not run.
 void WritePlots(const std::string& folder, const ShapeResult& results);
 
 }  // namespace bulrushmount
--- a/source/benchmarks/policy_report.cc
+++ b/source/benchmarks/policy_report.cc
@@ -1,4 +1,4 @@
-// Part of `policy_report.h`.
+// Part of `policy_report.h`: the goals, and the printing of the tables.
 
 #include "benchmarks/policy_report.h"
 
@@ -9,22 +9,24 @@
 namespace {
 
 constexpr std::string_view kOurs = "ours";
-constexpr std::string_view kBound = "clairvoyant";
+constexpr std::string_view kReferencePolicy = "clairvoyant";
 
 struct Goal {
   std::string_view name;
   std::string_view scenario;
-  // Compared with this scenario and policy.
+  // The goal compares with the result of this policy in this scenario.
   std::string_view base_scenario;
   std::string_view base_policy;
   bool is_goodput = false;
-  double bound = 0;
+  // Minimum of the ratio for goodput, maximum for latency.
+  double threshold = 0;
 };
 
 constexpr Goal kGoals[] = {
-    {"p99 at 70 % / clairvoyant", "steady-70", "steady-70", kBound, false,
-     1.25},
-    {"p99 at 90 % / clairvoyant", "steady-90", "steady-90", kBound, false, 1.5},
+    {"p99 at 70 % / clairvoyant", "steady-70", "steady-70", kReferencePolicy,
+     false, 1.25},
+    {"p99 at 90 % / clairvoyant", "steady-90", "steady-90", kReferencePolicy,
+     false, 1.5},
     {"goodput 110 % / 100 %", "steady-110", "steady-100", kOurs, true, 0.95},
     {"p99 beside flood / alone", "beside-flood", "alone-40", kOurs, false, 1.2},
     {"p99 one 10x slow / without", "slow-10x", "steady-60", kOurs, false, 1.5},
@@ -82,16 +84,16 @@
 }
 
 void PrintRows(const std::string& shape, const ScenarioResult& outcome) {
-  const Result& bound = outcome.rows.back().result;
+  const Result& reference = outcome.rows.back().result;
   for (const PolicyRow& row : outcome.rows) {
     const Result& result = row.result;
     fmt::print(
         "{:<16}{:<18}{:<15}{:>6.2f}{:>7.2f}{:>8.2f}{:>8.1f}{:>8.1f}{:>8.1f}"
         "{:>9.2f}{:>7.2f}{:>7.2f}{:>8.2f}{:>8}\n",
         shape, outcome.scenario, row.policy,
-        Quantile(result, 0.99) / Quantile(bound, 0.99),
+        Quantile(result, 0.99) / Quantile(reference, 0.99),
         static_cast<double>(result.good_ms.size()) /
-            static_cast<double>(bound.good_ms.size()),
+            static_cast<double>(reference.good_ms.size()),
         Percent(result.good_ms.size(), result), Quantile(result, 0.5),
         Quantile(result, 0.99), Quantile(result, 0.999),
         Percent(result.refused, result), Percent(result.late, result),
@@ -109,9 +111,9 @@
     const double ratio =
         Measure(*reached, goal.is_goodput) / Measure(*base, goal.is_goodput);
     const bool is_met =
-        goal.is_goodput ? ratio >= goal.bound : ratio <= goal.bound;
+        goal.is_goodput ? ratio >= goal.threshold : ratio <= goal.threshold;
     fmt::print("goal {:<16}{:<30}{:>6.2f}  {} {:.2f}  {}\n", results.shape,
-               goal.name, ratio, goal.is_goodput ? ">=" : "<=", goal.bound,
+               goal.name, ratio, goal.is_goodput ? ">=" : "<=", goal.threshold,
                is_met ? "met" : "MISSED");
   }
 }
--- a/source/benchmarks/policy_report.h
+++ b/source/benchmarks/policy_report.h
@@ -1,5 +1,5 @@
-// What the policy benchmark measured, as text: a table of ratios and the goals
-// beside what was reached.
+// Prints the results of the policy benchmark: a table of ratios, and the goals
+// with the values reached.
 
 #ifndef BULRUSHMOUNT_BENCHMARKS_POLICY_REPORT_H_
 #define BULRUSHMOUNT_BENCHMARKS_POLICY_REPORT_H_
@@ -14,13 +14,13 @@
 
 struct PolicyRow {
   std::string policy;
-  // With good_ms sorted.
+  // `good_ms` is sorted.
   Result result;
 };
 
 struct ScenarioResult {
   std::string scenario;
-  // The last one is the clairvoyant queue.
+  // The last row is the clairvoyant queue.
   std::vector<PolicyRow> rows;
 
   // Null if the policy was not run.
@@ -31,17 +31,18 @@
   std::string shape;
   std::vector<ScenarioResult> scenarios;
 
-  // Null if it was not run.
+  // Null if the scenario or the policy was not run.
   const Result* Find(std::string_view scenario, std::string_view policy) const;
 };
 
-// In milliseconds, of the good answers; 0 without any.
+// Quantile of the latencies of good answers in milliseconds; 0 if there are
+// none.
 double Quantile(const Result& result, double fraction);
 
 void PrintHead();
 void PrintRows(const std::string& shape, const ScenarioResult& outcome);
 
-// Leaves out goals whose scenarios were not run.
+// Omits goals whose scenarios were not run.
 void PrintGoals(const ShapeResult& results);
 
 }  // namespace bulrushmount
--- a/source/benchmarks/policy_run.cc
+++ b/source/benchmarks/policy_run.cc
@@ -1,4 +1,5 @@
-// Part of `policy_run.h`.
+// Part of `policy_run.h`: the path of a call from its entry to a target and
+// back, the faults, and the load that targets report.
 
 #include "benchmarks/policy_run.h"
 
@@ -11,11 +12,12 @@
 
 constexpr std::size_t kMaxAttempts = 4;
 constexpr Duration kSameZoneDelay = std::chrono::microseconds(50);
-// What the load endpoint of a target that lies says of its requests.
+// Service time in the report of a load endpoint that falsely reports idle.
 constexpr Duration kIdleServiceTime = std::chrono::milliseconds(1);
+// Time in which a failing target answers with an error.
 constexpr Duration kErrorTime = std::chrono::microseconds(500);
 
-// A work's id holds its call and the number of the attempt.
+// Encodes the call and the number of the attempt in the id of a work.
 WorkId WorkOf(std::size_t call, std::size_t attempt) {
   return WorkId(call * kMaxAttempts + attempt - 1);
 }
@@ -58,23 +60,24 @@
         m_entries[entry].picker->Update(CandidateFor(entry, target));
     }
   }
-  PlanLimits(seed);
-  PlanLives();
+  SetUpLimits(seed);
+  StartLifecycles();
 }
 
 Result PolicyRun::Run() {
   for (std::size_t call = 0; call < m_arrivals.size(); ++call) {
     const Arrival& arrival = m_arrivals[call];
     m_calls[call].arrival = &arrival;
-    At(arrival.at, [this, call] { OnCall(call); });
-    At(arrival.at + arrival.deadline, [this, call] { OnDeadline(call); });
+    ScheduleAt(arrival.at, [this, call] { OnCall(call); });
+    ScheduleAt(arrival.at + arrival.deadline,
+               [this, call] { OnDeadline(call); });
   }
-  PlanFault();
+  ScheduleFault();
   while (!m_events.empty()) {
     const Event event = m_events.top();
     m_events.pop();
     m_now = event.at;
-    event.act();
+    event.action();
   }
   return std::move(m_result);
 }
@@ -84,7 +87,7 @@
   const Arrival& arrival = *call.arrival;
   if (m_limiters) {
     const Reason reason = m_limiters->node(arrival.entry)
-                              .TryAdmit(m_now + m_limiters_ahead,
+                              .TryAdmit(m_now + m_limiter_clock_offset,
                                         WorkspaceOf(arrival), arrival.weight);
     if (reason != Reason::kNone) {
       Finish(index, &Result::refused);
@@ -96,8 +99,8 @@
   Send(index);
 }
 
-void PolicyRun::At(TimePoint when, std::function<void()> act) {
-  m_events.push({when, ++m_events_made, std::move(act)});
+void PolicyRun::ScheduleAt(TimePoint when, std::function<void()> action) {
+  m_events.push({when, ++m_event_count, std::move(action)});
 }
 
 ZoneDistance PolicyRun::DistanceBetween(std::size_t from,
@@ -120,23 +123,24 @@
           .slots = m_shape.slots};
 }
 
-void PolicyRun::PlanFault() {
+void PolicyRun::ScheduleFault() {
   for (std::size_t entry = 0; entry < m_entries.size(); ++entry) {
-    // When gossip brings the news.
-    const TimePoint heard = kFaultAt + FromSeconds(m_random.Fraction());
+    // Gossip takes up to one second to reach an entry.
+    const TimePoint notified_at = kFaultAt + FromSeconds(m_random.Fraction());
     if (m_fault == Fault::kCold) {
-      At(heard, [this, entry] {
+      ScheduleAt(notified_at, [this, entry] {
         Candidate candidate = CandidateFor(entry, 0);
         candidate.warming_since = m_now;
         m_entries[entry].picker->Update(candidate);
       });
     }
     if (m_fault == Fault::kDrain)
-      At(heard, [this, entry] { m_entries[entry].picker->Remove(IdOf(0)); });
+      ScheduleAt(notified_at,
+                 [this, entry] { m_entries[entry].picker->Remove(IdOf(0)); });
   }
   if (m_fault != Fault::kDrain)
     return;
-  At(kFaultAt, [this] {
+  ScheduleAt(kFaultAt, [this] {
     m_targets[0].is_drained = true;
     if (m_targets[0].admission)
       Apply(0, m_targets[0].admission->Drain(m_now));
@@ -162,12 +166,12 @@
   entry.picker->OnSent(call.dispatch);
   const std::size_t target = picked->value() - 1;
   const WorkId work = WorkOf(index, call.tried.size());
-  const bool may_go_elsewhere =
+  const bool may_retry =
       call.tried.size() < kMaxAttempts && call.tried.size() < m_targets.size();
-  call.has_retry = may_go_elsewhere && entry.budget.Reserve(m_now, kService);
+  call.has_retry = may_retry && entry.budget.Reserve(m_now, kService);
   const bool is_last = !call.has_retry;
-  At(m_now + DelayBetween(call.arrival->entry, target),
-     [this, target, work, is_last] { OnWork(target, work, is_last); });
+  ScheduleAt(m_now + DelayBetween(call.arrival->entry, target),
+             [this, target, work, is_last] { OnWork(target, work, is_last); });
 }
 
 void PolicyRun::Finish(std::size_t index, std::size_t Result::*counter) {
@@ -177,7 +181,8 @@
     m_entries[call.arrival->entry].budget.Return(kService);
   if (call.is_admitted) {
     m_limiters->node(call.arrival->entry)
-        .OnCallEnded(m_now + m_limiters_ahead, WorkspaceOf(*call.arrival));
+        .OnCallEnded(m_now + m_limiter_clock_offset,
+                     WorkspaceOf(*call.arrival));
   }
   if (call.arrival->at < kMeasureFrom)
     return;
@@ -200,8 +205,8 @@
   m_entries[call.arrival->entry].picker->OnCancelled(m_now, call.dispatch);
   const std::size_t target = call.dispatch.node.value() - 1;
   const WorkId work = WorkOf(index, call.tried.size());
-  At(m_now + DelayBetween(call.arrival->entry, target),
-     [this, target, work] { OnCancel(target, work); });
+  ScheduleAt(m_now + DelayBetween(call.arrival->entry, target),
+             [this, target, work] { OnCancel(target, work); });
   Finish(index, &Result::late);
 }
 
@@ -241,7 +246,7 @@
 void PolicyRun::OnWork(std::size_t index, WorkId work, bool is_last) {
   Target& target = m_targets[index];
   const Arrival& arrival = *m_calls[CallOf(work)].arrival;
-  if (target.life && !target.life->IsServing()) {
+  if (target.lifecycle && !target.lifecycle->IsServing()) {
     AdmissionOutput refusal;
     refusal.refuse.push_back({work, Reason::kNoTarget});
     Apply(index, refusal);
@@ -282,14 +287,14 @@
   ++target.running;
   m_running.emplace(work, index);
   const bool is_error = m_fault == Fault::kFailing && m_now >= kFaultAt &&
-                        IsStruck(m_shape, m_fault, index);
-  const double slowness =
-      SlownessOf(m_shape, m_fault, index, m_now, target.running);
-  const Duration healthy = m_calls[CallOf(work)].arrival->work;
-  const Duration takes =
-      is_error ? kErrorTime : FromSeconds(ToSeconds(healthy) * slowness);
-  At(m_now + takes,
-     [this, index, work, is_error] { EndWork(index, work, is_error); });
+                        IsAffected(m_shape, m_fault, index);
+  const double slowdown =
+      SlowdownOf(m_shape, m_fault, index, m_now, target.running);
+  const Duration healthy_time = m_calls[CallOf(work)].arrival->service_time;
+  const Duration service_time =
+      is_error ? kErrorTime : FromSeconds(ToSeconds(healthy_time) * slowdown);
+  ScheduleAt(m_now + service_time,
+             [this, index, work, is_error] { EndWork(index, work, is_error); });
 }
 
 void PolicyRun::EndWork(std::size_t index, WorkId work, bool is_error) {
@@ -297,10 +302,10 @@
     return;
   Target& target = m_targets[index];
   --target.running;
-  if (target.life) {
-    target.life->OnRequestResult(
+  if (target.lifecycle) {
+    target.lifecycle->OnRequestResult(
         m_now, is_error ? RequestResult::kError : RequestResult::kAnswered);
-    StepLife(index);
+    UpdateLifecycle(index);
   }
   if (target.admission) {
     target.admission->OnAnswerBegun(m_now, work, is_error);
@@ -312,10 +317,10 @@
   }
   const std::size_t call = CallOf(work);
   const std::size_t attempt = AttemptOf(work);
-  At(m_now + DelayBetween(index, m_calls[call].arrival->entry),
-     [this, call, attempt, is_error, load = LoadOf(index)] {
-       OnAnswer(call, attempt, is_error, load);
-     });
+  ScheduleAt(m_now + DelayBetween(index, m_calls[call].arrival->entry),
+             [this, call, attempt, is_error, load = LoadOf(index)] {
+               OnAnswer(call, attempt, is_error, load);
+             });
 }
 
 void PolicyRun::Apply(std::size_t index, const AdmissionOutput& output) {
@@ -324,35 +329,36 @@
   for (const AdmissionRefusal& refusal : output.refuse) {
     const std::size_t call = CallOf(refusal.work);
     const std::size_t attempt = AttemptOf(refusal.work);
-    At(m_now + DelayBetween(index, m_calls[call].arrival->entry),
-       [this, call, attempt, reason = refusal.reason, load = LoadOf(index)] {
-         OnRefusal(call, attempt, reason, load);
-       });
+    ScheduleAt(
+        m_now + DelayBetween(index, m_calls[call].arrival->entry),
+        [this, call, attempt, reason = refusal.reason, load = LoadOf(index)] {
+          OnRefusal(call, attempt, reason, load);
+        });
   }
-  PlanTimer(index);
+  ScheduleAdmissionTimer(index);
 }
 
-void PolicyRun::PlanTimer(std::size_t index) {
+void PolicyRun::ScheduleAdmissionTimer(std::size_t index) {
   Target& target = m_targets[index];
   if (!target.admission)
     return;
   const auto wakeup = target.admission->NextWakeup();
-  if (!wakeup || (target.timer && *target.timer <= *wakeup))
+  if (!wakeup || (target.admission_timer && *target.admission_timer <= *wakeup))
     return;
-  target.timer = wakeup;
-  At(*wakeup, [this, index, planned = *wakeup] {
+  target.admission_timer = wakeup;
+  ScheduleAt(*wakeup, [this, index, planned = *wakeup] {
     Target& woken = m_targets[index];
-    if (woken.timer != planned)
+    if (woken.admission_timer != planned)
       return;
-    woken.timer.reset();
+    woken.admission_timer.reset();
     Apply(index, woken.admission->OnTimer(m_now));
   });
 }
 
 LoadReport PolicyRun::LoadOf(std::size_t index) const {
   const Target& target = m_targets[index];
-  if (m_trusts_endpoints && m_scenario.is_lying &&
-      IsStruck(m_shape, m_fault, index)) {
+  if (m_trusts_endpoints && m_scenario.is_reporting_idle &&
+      IsAffected(m_shape, m_fault, index)) {
     return {.limit = m_shape.slots, .service_time = kIdleServiceTime};
   }
   if (target.admission)
--- a/source/benchmarks/policy_run.h
+++ b/source/benchmarks/policy_run.h
@@ -1,6 +1,6 @@
-// Runs one policy over the arrivals: entries with a picker each, owners with an
-// admission each, and fake targets that are a queue and a service time, joined
-// by an event queue with the delays of the zones.
+// Simulates one policy on a list of arrivals in virtual time. Each entry has a
+// picker and each owner an admission; a simulated target is a queue with a
+// service time. An event queue connects them with the delays between zones.
 
 #ifndef BULRUSHMOUNT_BENCHMARKS_POLICY_RUN_H_
 #define BULRUSHMOUNT_BENCHMARKS_POLICY_RUN_H_
@@ -26,14 +26,17 @@
 
 inline const ServiceName kService("service");
 
+// A combination of routing and admission to compare.
 struct Policy {
   std::string name;
   std::function<std::unique_ptr<TargetPicker>(const Shape&)> make_picker;
-  // Without one the target takes everything, and nothing is refused or retried.
+  // If empty, the target accepts every request, so that nothing is refused or
+  // retried.
   std::function<std::unique_ptr<Admission>()> make_admission;
-  // Workspaces are held to their limits.
+  // Whether workspace limits are enforced.
   bool has_limits = true;
-  // Takes a target's own load endpoint for the truth.
+  // Whether the load is read from the target's own load endpoint instead of the
+  // owner's admission.
   bool trusts_endpoints = false;
 };
 
@@ -50,8 +53,9 @@
  private:
   struct Event {
     TimePoint at;
+    // Keeps events of the same time in the order in which they were scheduled.
     std::uint64_t number = 0;
-    std::function<void()> act;
+    std::function<void()> action;
 
     bool operator<(const Event& other) const {
       return at != other.at ? at > other.at : number > other.number;
@@ -66,25 +70,25 @@
   struct Target {
     std::unique_ptr<Admission> admission;
     std::size_t running = 0;
-    // Without admission only.
+    // Used only without admission.
     std::deque<WorkId> waiting;
-    std::optional<TimePoint> timer;
+    std::optional<TimePoint> admission_timer;
     bool is_drained = false;
-    // With probes in the scenario only.
-    std::unique_ptr<TargetLifecycle> life;
-    std::optional<TimePoint> life_timer;
-    // As the entries were last told.
+    // Set only if the scenario has probes.
+    std::unique_ptr<TargetLifecycle> lifecycle;
+    std::optional<TimePoint> lifecycle_timer;
+    // The last state that was reported to the entries.
     bool is_reported_serving = true;
   };
 
-  // A call, and its one attempt on the way.
+  // A call and its attempt in flight, of which there is at most one.
   struct Call {
     const Arrival* arrival = nullptr;
     std::vector<NodeId> tried;
     Dispatch dispatch;
-    // A retry is reserved for it.
+    // Whether a retry is reserved for this call.
     bool has_retry = false;
-    // Counts for its workspace's limit.
+    // Whether the call counts towards the limit of its workspace.
     bool is_admitted = false;
     bool is_done = false;
   };
@@ -92,20 +96,21 @@
   static NodeId IdOf(std::size_t node) { return NodeId(node + 1); }
   static WorkspaceName WorkspaceOf(const Arrival& arrival);
 
-  void At(TimePoint when, std::function<void()> act);
+  void ScheduleAt(TimePoint when, std::function<void()> action);
   Duration DelayBetween(std::size_t from, std::size_t to) const;
   ZoneDistance DistanceBetween(std::size_t from, std::size_t to) const;
   Candidate CandidateFor(std::size_t entry, std::size_t target) const;
-  void PlanFault();
-  void PlanLimits(std::uint64_t seed);
-  void StepLimits();
-  void PlanLives();
+  void ScheduleFault();
+  void SetUpLimits(std::uint64_t seed);
+  void AdvanceLimits();
+  void StartLifecycles();
   void Probe(std::size_t target);
-  void StepLife(std::size_t target);
-  void PlanLifeTimer(std::size_t target);
+  void UpdateLifecycle(std::size_t target);
+  void ScheduleLifecycleTimer(std::size_t target);
   void OnCall(std::size_t call);
 
   void Send(std::size_t call);
+  // `counter` is null for a good answer.
   void Finish(std::size_t call, std::size_t Result::*counter);
   void OnDeadline(std::size_t call);
   void OnRefusal(std::size_t call,
@@ -122,7 +127,7 @@
   void StartWork(std::size_t target, WorkId work);
   void EndWork(std::size_t target, WorkId work, bool is_error);
   void Apply(std::size_t target, const AdmissionOutput& output);
-  void PlanTimer(std::size_t target);
+  void ScheduleAdmissionTimer(std::size_t target);
   LoadReport LoadOf(std::size_t target) const;
 
   Shape m_shape;
@@ -133,17 +138,18 @@
   const std::vector<Arrival>& m_arrivals;
   SeededRandomSource m_random;
   TimePoint m_now;
-  std::uint64_t m_events_made = 0;
+  std::uint64_t m_event_count = 0;
   std::priority_queue<Event> m_events;
   std::vector<Entry> m_entries;
   std::vector<Target> m_targets;
   std::vector<Call> m_calls;
-  // Of all entries; with a second workspace only.
+  // The limiters of all entries. Set only if the scenario has a second
+  // workspace and the policy enforces limits.
   std::optional<LimiterFleet> m_limiters;
-  // The fleet's clock less this run's: given the wrong one, limiters would
-  // take their loans for long lapsed or far in the future.
-  Duration m_limiters_ahead{};
-  // Works that run, by id.
+  // Offset of the clock of `m_limiters` from `m_now`. Without it, limiters
+  // would see their loans as expired or far in the future.
+  Duration m_limiter_clock_offset{};
+  // Target index of each running work.
   std::unordered_map<WorkId, std::size_t> m_running;
   Result m_result;
 };
--- a/source/benchmarks/policy_workload.cc
+++ b/source/benchmarks/policy_workload.cc
@@ -1,4 +1,5 @@
-// Part of `policy_workload.h`.
+// Part of `policy_workload.h`: generates the arrivals, computes the slowdown of
+// affected targets and simulates the clairvoyant queue.
 
 #include "benchmarks/policy_workload.h"
 
@@ -12,21 +13,23 @@
 namespace {
 
 constexpr double kMeanWorkSeconds = 0.010;
-constexpr double kSigma = 0.5;
+constexpr double kLogNormalSigma = 0.5;
 constexpr double kHeavyChance = 0.1;
 constexpr double kHeavyWeight = 2.0;
 constexpr Duration kDeadlinePerWeight = std::chrono::milliseconds(150);
 constexpr double kBurstLoad = 2.5;
 constexpr double kMeanWeight = 1 + kHeavyChance * (kHeavyWeight - 1);
-// Of the arrivals of the workspace that floods.
+// Combined by XOR with the seed for the arrivals of the second workspace.
 constexpr std::uint64_t kFloodSeed = 0x9e3779b97f4a7c15U;
 
-std::vector<Arrival> MakeArrivalsOfOne(const Shape& shape,
-                                       const Scenario& scenario,
-                                       std::uint64_t seed) {
+// Arrivals of one workspace.
+std::vector<Arrival> MakeWorkspaceArrivals(const Shape& shape,
+                                           const Scenario& scenario,
+                                           std::uint64_t seed) {
   std::mt19937_64 engine(seed);
   std::uniform_real_distribution<double> uniform(0, 1);
-  std::lognormal_distribution<double> spread(-kSigma * kSigma / 2, kSigma);
+  std::lognormal_distribution<double> spread(
+      -kLogNormalSigma * kLogNormalSigma / 2, kLogNormalSigma);
   const double calls_per_second = CapacityOf(shape) / kMeanWeight;
   std::vector<Arrival> arrivals;
   double now = 0;
@@ -45,11 +48,11 @@
     now -= std::log(1 - uniform(engine)) / (load * calls_per_second);
     const bool is_heavy = uniform(engine) < kHeavyChance;
     const double weight = is_heavy ? kHeavyWeight : 1;
-    const double work = kMeanWorkSeconds * weight * spread(engine);
+    const double service_time_s = kMeanWorkSeconds * weight * spread(engine);
     const auto entry = static_cast<std::size_t>(
         uniform(engine) * static_cast<double>(shape.nodes));
     arrivals.push_back({TimePoint(FromSeconds(now)), entry, weight,
-                        FromSeconds(work),
+                        FromSeconds(service_time_s),
                         static_cast<int>(weight) * kDeadlinePerWeight});
   }
   return arrivals;
@@ -61,22 +64,22 @@
   return static_cast<double>(shape.targets * shape.slots) / kMeanWorkSeconds;
 }
 
-bool IsStruck(const Shape& shape, Fault fault, std::size_t index) {
+bool IsAffected(const Shape& shape, Fault fault, std::size_t index) {
   if (fault == Fault::kNone || fault == Fault::kBursts)
     return false;
   if (fault == Fault::kAllNoisy)
     return true;
-  const std::size_t struck =
+  const std::size_t affected =
       fault == Fault::kFailing && shape.targets > 3 ? 2 : 1;
-  return index < struck;
+  return index < affected;
 }
 
-double SlownessOf(const Shape& shape,
+double SlowdownOf(const Shape& shape,
                   Fault fault,
                   std::size_t index,
                   TimePoint now,
                   std::size_t running) {
-  if (now < kFaultAt || !IsStruck(shape, fault, index))
+  if (now < kFaultAt || !IsAffected(shape, fault, index))
     return 1;
   switch (fault) {
     case Fault::kSlow:
@@ -94,12 +97,13 @@
 std::vector<Arrival> MakeArrivals(const Shape& shape,
                                   const Scenario& scenario,
                                   std::uint64_t seed) {
-  std::vector<Arrival> arrivals = MakeArrivalsOfOne(shape, scenario, seed);
+  std::vector<Arrival> arrivals = MakeWorkspaceArrivals(shape, scenario, seed);
   if (scenario.flood == 0)
     return arrivals;
   Scenario flood;
   flood.load = scenario.flood;
-  for (Arrival& arrival : MakeArrivalsOfOne(shape, flood, seed ^ kFloodSeed)) {
+  for (Arrival& arrival :
+       MakeWorkspaceArrivals(shape, flood, seed ^ kFloodSeed)) {
     arrival.is_flood = true;
     arrivals.push_back(arrival);
   }
@@ -116,7 +120,7 @@
   Result result;
   std::vector<TimePoint> free_at(shape.targets * shape.slots);
   for (const Arrival& arrival : arrivals) {
-    // The bound of a workspace that is alone.
+    // The reference is a first workspace that has the targets to itself.
     if (arrival.is_flood)
       continue;
     TimePoint best_end = TimePoint::max();
@@ -126,21 +130,23 @@
       const TimePoint start = std::max(arrival.at, free_at[slot]);
       if (start >= best_end)
         continue;
-      const bool is_struck = IsStruck(shape, fault, target);
-      const bool is_gone =
-          is_struck && (fault == Fault::kCold
-                            ? start < kFaultAt
-                            : start >= kFaultAt && (fault == Fault::kDrain ||
-                                                    fault == Fault::kFailing));
-      // Of a noisy target it uses only the half that is left, rounded up.
+      const bool is_affected = IsAffected(shape, fault, target);
+      const bool is_unavailable =
+          is_affected &&
+          (fault == Fault::kCold
+               ? start < kFaultAt
+               : start >= kFaultAt &&
+                     (fault == Fault::kDrain || fault == Fault::kFailing));
+      // Uses only half of the slots of a noisy target, rounded up.
       const bool is_noisy = fault == Fault::kNoisy || fault == Fault::kAllNoisy;
-      const bool is_taken = is_struck && is_noisy && start >= kFaultAt &&
-                            slot % shape.slots >= (shape.slots + 1) / 2;
-      if (is_gone || is_taken)
+      const bool is_slot_unusable = is_affected && is_noisy &&
+                                    start >= kFaultAt &&
+                                    slot % shape.slots >= (shape.slots + 1) / 2;
+      if (is_unavailable || is_slot_unusable)
         continue;
-      const double slowness = SlownessOf(shape, fault, target, start, 0);
+      const double slowdown = SlowdownOf(shape, fault, target, start, 0);
       const TimePoint end =
-          start + FromSeconds(ToSeconds(arrival.work) * slowness);
+          start + FromSeconds(ToSeconds(arrival.service_time) * slowdown);
       if (end < best_end) {
         best_end = end;
         best = slot;
--- a/source/benchmarks/restart_benchmark.cc
+++ b/source/benchmarks/restart_benchmark.cc
@@ -1,5 +1,6 @@
-// Prints what the death, the restart and the return of one node cost in control
-// bytes of the workspace limits and of the quarantine, in virtual time.
+// Measures the control bytes that the workspace limits and the quarantine send
+// when one node fails, restarts, or resumes after a suspension, in virtual
+// time.
 //   restart_benchmark [SEED]
 
 #include <chrono>
@@ -21,10 +22,11 @@
 constexpr std::uint64_t kDefaultSeed = 20261202;
 constexpr std::size_t kNodes = 1100;
 constexpr double kCallsPerSecond = 200;
-constexpr Duration kSettling = 60s;
-constexpr Duration kDetection = 2s;
-constexpr Duration kFirst = 1s;
-constexpr Duration kLater = 20s;
+constexpr Duration kSettleTime = 60s;
+constexpr Duration kDetectionTime = 2s;
+// Windows measured after a change of the members.
+constexpr Duration kFirstWindow = 1s;
+constexpr Duration kLaterWindow = 20s;
 
 void PrintWindow(std::string_view name,
                  DatagramNetwork& network,
@@ -37,10 +39,11 @@
   network.ResetSentCounters();
 }
 
-// Calls at all entries, each for one of its `active` workspaces.
-class EvenCalls {
+// Load at all entries. Each entry gets calls of its own subset of `active`
+// workspaces.
+class UniformLoad {
  public:
-  EvenCalls(std::size_t active, std::size_t workspaces, std::uint64_t seed)
+  UniformLoad(std::size_t active, std::size_t workspaces, std::uint64_t seed)
       : m_fleet(kNodes, seed), m_random(seed), m_active(active) {
     for (std::size_t index = 0; index < workspaces; ++index) {
       m_names.emplace_back("workspace" + std::to_string(index));
@@ -49,27 +52,29 @@
   }
 
   LimiterFleet& fleet() { return m_fleet; }
-  std::size_t BusyHome() const { return m_fleet.HomeOf(m_names.front()); }
+  std::size_t HomeOfFirstWorkspace() const {
+    return m_fleet.HomeOf(m_names.front());
+  }
 
   void Run(Duration duration) {
     const TimePoint end = m_fleet.now() + duration;
     while (m_fleet.now() < end) {
       m_fleet.Advance(LimiterFleet::kStep);
-      m_due += kCallsPerSecond * ToSeconds(LimiterFleet::kStep);
-      for (; m_due >= 1; m_due -= 1)
-        CallEverywhere();
+      m_pending_calls += kCallsPerSecond * ToSeconds(LimiterFleet::kStep);
+      for (; m_pending_calls >= 1; m_pending_calls -= 1)
+        CallAtEveryEntry();
     }
   }
 
   void Print(std::string_view name) {
-    Run(kFirst);
-    PrintWindow(name, m_fleet.network(), kFirst);
-    Run(kLater);
-    PrintWindow(std::string(name) + ", then", m_fleet.network(), kLater);
+    Run(kFirstWindow);
+    PrintWindow(name, m_fleet.network(), kFirstWindow);
+    Run(kLaterWindow);
+    PrintWindow(std::string(name) + ", then", m_fleet.network(), kLaterWindow);
   }
 
  private:
-  void CallEverywhere() {
+  void CallAtEveryEntry() {
     for (std::size_t index = 0; index < kNodes; ++index) {
       if (!m_fleet.IsRunning(index))
         continue;
@@ -85,20 +90,21 @@
   SeededRandomSource m_random;
   std::size_t m_active;
   std::vector<WorkspaceName> m_names;
-  double m_due = 0;
+  double m_pending_calls = 0;
 };
 
 void MeasureLimits(std::size_t active,
                    std::size_t workspaces,
                    std::uint64_t seed) {
   fmt::print("limits: {} active of {} workspaces\n", active, workspaces);
-  EvenCalls calls(active, workspaces, seed);
-  calls.Run(kSettling);
+  UniformLoad calls(active, workspaces, seed);
+  calls.Run(kSettleTime);
   calls.fleet().network().ResetSentCounters();
-  const std::size_t home = calls.BusyHome();
+  const std::size_t home = calls.HomeOfFirstWorkspace();
   calls.fleet().Kill(home);
-  calls.Run(kDetection);
-  PrintWindow("home dead, not noticed", calls.fleet().network(), kDetection);
+  calls.Run(kDetectionTime);
+  PrintWindow("home dead, not noticed", calls.fleet().network(),
+              kDetectionTime);
   calls.fleet().PublishMembers();
   calls.Print("noticed");
   calls.fleet().Restart(home);
@@ -106,37 +112,38 @@
   calls.Print("replaced");
 }
 
-// `records` requests are suspect everywhere.
+// Every node has quarantine records of `records` suspect requests.
 void MeasureQuarantine(std::size_t records, std::uint64_t seed) {
   fmt::print("quarantine: {} records\n", records);
   QuarantineFleet fleet(kNodes, seed);
   fleet.Advance(7s);
-  // As if gossip had brought them: a broadcast of each would be too much here.
+  // Creates the records directly at each node, because broadcasting all of them
+  // would take too long here.
   for (std::size_t index = 0; index < kNodes; ++index) {
     for (std::uint64_t number = 1; number <= records; ++number)
       fleet.node(index).OnTargetLost(fleet.now(), Fingerprint(number));
   }
   fleet.network().ResetSentCounters();
-  fleet.Advance(kFirst);
-  PrintWindow("nothing happens", fleet.network(), kFirst);
+  fleet.Advance(kFirstWindow);
+  PrintWindow("nothing happens", fleet.network(), kFirstWindow);
   fleet.Kill(0);
-  fleet.Advance(kDetection);
+  fleet.Advance(kDetectionTime);
   fleet.PublishMembers();
   fleet.network().ResetSentCounters();
   fleet.Restart(0);
   fleet.PublishMembers();
-  fleet.Advance(kFirst);
-  PrintWindow("a node is replaced", fleet.network(), kFirst);
+  fleet.Advance(kFirstWindow);
+  PrintWindow("a node is replaced", fleet.network(), kFirstWindow);
   fleet.network().SetFrozen(1, true);
   fleet.PublishMembers(true);
-  fleet.Advance(kDetection);
+  fleet.Advance(kDetectionTime);
   fleet.network().SetFrozen(1, false);
   fleet.network().ResetSentCounters();
   fleet.PublishMembers();
-  fleet.Advance(kFirst);
-  PrintWindow("a node comes back", fleet.network(), kFirst);
-  fleet.Advance(kDetection);
-  PrintWindow("then", fleet.network(), kDetection);
+  fleet.Advance(kFirstWindow);
+  PrintWindow("a node comes back", fleet.network(), kFirstWindow);
+  fleet.Advance(kDetectionTime);
+  PrintWindow("then", fleet.network(), kDetectionTime);
 }
 
 }  // namespace
--- a/source/benchmarks/routing_benchmark.cc
+++ b/source/benchmarks/routing_benchmark.cc
@@ -1,5 +1,5 @@
-// How many decisions a second the pickers and the admission make, by the number
-// of targets of one service or of workspaces in the queue.
+// Measures how many decisions per second the pickers and the admission make, by
+// the number of targets of a service and of workspaces in the queue.
 
 #include <algorithm>
 #include <chrono>
@@ -21,7 +21,7 @@
 using std::chrono_literals::operator""ms;
 using std::chrono_literals::operator""us;
 
-// A third of the targets at each distance; each has reported.
+// Adds targets, a third at each distance, that all have reported their load.
 void Fill(TargetPicker& picker, std::uint64_t targets) {
   for (std::uint64_t node = 1; node <= targets; ++node) {
     picker.Update({.node = NodeId(node),
@@ -38,7 +38,7 @@
   }
 }
 
-// One pick, and the events of the attempt up to its end.
+// Measures one pick and the events of its attempt.
 template <typename Picker, typename... Arguments>
 void PickAndReport(benchmark::State& state, const Arguments&... arguments) {
   Picker picker(arguments...);
@@ -72,8 +72,8 @@
 }
 BENCHMARK(LeastReported)->Arg(10)->Arg(100)->Arg(1100);
 
-// Arrival and end of a work while all slots are taken and `range(0)` workspaces
-// have works in the queue.
+// Measures the arrival and the end of a work while all slots are in use and
+// `range(0)` workspaces have works in the queue.
 void AdmissionWithQueue(benchmark::State& state) {
   Admission admission(
       AdmissionSettings{.max_wait = 1000, .overload_fraction = 2},
@@ -97,7 +97,7 @@
   for (auto _ : state) {
     now += 800us;
     benchmark::DoNotOptimize(arrive());
-    // Ends whichever work runs; ids start nearly in order.
+    // Ends the next running work; works start nearly in the order of their ids.
     while (admission.OnEnded(now, WorkId(++ended), WorkEnd::kAnswered)
                .start.empty()) {
     }
