--- a/source/core/transport/operators/daemon_pages.cc
+++ b/source/core/transport/operators/daemon_pages.cc
@@ -79,7 +79,7 @@
   if (!format) {
     ControlReply reply;
     reply.status = kBadRequest;
-    reply.body = "unknown query; use format=text, format=json or format=svg\n";
+    reply.body = "the query may be format=text, format=json or format=svg\n";
     respond(std::move(reply));
     return;
   }
--- a/source/core/transport/operators/metrics_server.cc
+++ b/source/core/transport/operators/metrics_server.cc
@@ -12,7 +12,7 @@
   ControlReply reply;
   if (request.method != "GET" || request.target != "/metrics") {
     reply.status = 404;
-    reply.body = "only GET /metrics is served here\n";
+    reply.body = "only GET /metrics\n";
   } else {
     reply.content_type = kMetricsContentType;
     reply.body = m_logic.MetricsText(Now());
--- a/source/core/transport/operators/operator_server.cc
+++ b/source/core/transport/operators/operator_server.cc
@@ -111,12 +111,12 @@
   const bool is_open =
       page != m_pages.end() && page->second.access == Access::kOpen;
   if (!is_open && !IsAllowed(request)) {
-    respond(Plain(401, "a valid bearer token is required\n"));
+    respond(Plain(401, "a bearer token is needed\n"));
     return;
   }
   if (page != m_pages.end()) {
     if (request.method != "GET") {
-      ControlReply reply = Plain(405, "only GET is allowed\n");
+      ControlReply reply = Plain(405, "only GET\n");
       reply.allow = "GET";
       respond(std::move(reply));
       return;
@@ -143,15 +143,15 @@
   const bool has_name = !name.empty();
   const auto verb = ParseVerb(request.method, has_name);
   if (!verb) {
-    ControlReply reply = Plain(405, "method not allowed for this path\n");
+    ControlReply reply = Plain(405, "no such method here\n");
     reply.allow = has_name ? "GET, PUT, DELETE" : "GET";
     respond(std::move(reply));
     return;
   }
   if (has_name && !IsName(name)) {
     respond(Plain(400,
-                  "invalid contract name: only letters, digits, '.', '_' and "
-                  "'-' are allowed\n"));
+                  "a contract's name has letters, digits, '.', '_' and "
+                  "'-' only\n"));
     return;
   }
   const auto version = ParseVersion(request.if_match);
--- a/source/core/transport/targets/target_server.cc
+++ b/source/core/transport/targets/target_server.cc
@@ -32,7 +32,7 @@
   const auto number =
       value ? value->to_number<std::uint64_t>(error) : std::uint64_t{0};
   if (!value || error || number < least || number > most) {
-    fault += fmt::format("{}: expected a whole number from {} to {}\n", key,
+    fault += fmt::format("{}: a whole number from {} to {} is needed\n", key,
                          least, most);
   }
   return number;
@@ -53,7 +53,7 @@
   boost::system::error_code error;
   const json::value parsed = json::parse(text, error);
   if (error || !parsed.is_object()) {
-    fault = "expected a JSON object\n";
+    fault = "a JSON object is needed\n";
     return std::nullopt;
   }
   const json::object& object = parsed.get_object();
@@ -62,7 +62,7 @@
   if (service && service->is_string() && !service->get_string().empty()) {
     announced.service = ServiceName(std::string(service->get_string()));
   } else {
-    fault += "service: expected a non-empty string\n";
+    fault += "service: a name is needed\n";
   }
   announced.endpoint = {peer_ip, static_cast<std::uint16_t>(ReadNumber(
                                      object, "port", 1, kMaxPort, fault))};
@@ -89,7 +89,7 @@
     return;
   }
   if (request.method != "PUT") {
-    ControlReply reply = Plain(405, "only PUT and DELETE are allowed\n");
+    ControlReply reply = Plain(405, "only PUT and DELETE\n");
     reply.allow = "PUT, DELETE";
     respond(std::move(reply));
     return;
