--- a/source/core/membership/anti_entropy.cc
+++ b/source/core/membership/anti_entropy.cc
@@ -1,5 +1,6 @@
-// Part of `membership.h`: comparing tables with random members, which brings
-// newcomers the fleet, merges healed partitions and mends what was lost.
+// Part of `membership.h`: table comparison with random members. It brings new
+// nodes up to date, merges the parts of a healed partition and repairs what was
+// lost on the way.
 
 #include <algorithm>
 #include <vector>
@@ -11,25 +12,25 @@
 
 namespace {
 
-// Datagrams of one reply, each below 1,200 bytes.
+// Number of datagrams of one reply, each smaller than 1,200 bytes.
 constexpr std::size_t kReplyDatagrams = 2;
 constexpr std::size_t kReplyDatagramsToNewcomer = 8;
 
 constexpr std::size_t kSeedsAtOnce = 3;
 constexpr Duration kMaxSeedBackoff = std::chrono::seconds(8);
-constexpr int kNearTries = 4;
+constexpr int kSameRegionAttempts = 4;
 
 }  // namespace
 
 void Membership::StartSync(TimePoint now) {
-  const Duration period = m_is_catching_up ? m_settings.hurried_sync_period
-                                           : m_settings.sync_period;
+  const Duration period =
+      m_is_catching_up ? m_settings.fast_sync_period : m_settings.sync_period;
   m_next_sync =
       now + FromSeconds(ToSeconds(period) * (0.75 + m_random.Fraction() / 2));
   const Member* peer = RandomPeer();
   const bool is_far_turn =
       m_random.Index(m_settings.far_heartbeat_interval) == 0;
-  for (int i = 0; i < kNearTries && peer != nullptr && !is_far_turn &&
+  for (int i = 0; i < kSameRegionAttempts && peer != nullptr && !is_far_turn &&
                   peer->region != self().region;
        ++i) {
     peer = RandomPeer();
@@ -52,7 +53,7 @@
   digest.set_is_joining(m_is_catching_up);
   digest.set_is_answer(is_answer);
   *writer.message().mutable_digest() = std::move(digest);
-  // Sized anew, with the digest.
+  // A new writer accounts for the size of the digest.
   detail::GossipWriter sized(std::move(writer.message()));
   sized.Add(self());
   const Member* receiver = m_table.Find(to_id);
@@ -130,8 +131,9 @@
                        replies.front().message().records_size() > 0 ||
                        replies.front().message().state_changes_size() > 0;
   if (differs && !theirs.is_answer()) {
-    // Both learn from one comparison: with the other direction left to chance,
-    // a chain of nodes that each know one other takes a minute to meet.
+    // Sends this node's digest back, so that both sides learn from one
+    // comparison. If the other direction were left to chance, a chain of nodes
+    // that each know one other would take a minute to merge.
     SendDigest(now, from, NodeId(in.sender()), true);
   }
 }
@@ -156,7 +158,7 @@
     m_is_catching_up = false;
     return;
   }
-  m_next_sync = std::min(m_next_sync, now + m_settings.hurried_sync_period);
+  m_next_sync = std::min(m_next_sync, now + m_settings.fast_sync_period);
 }
 
 }  // namespace bulrushmount
--- a/source/core/membership/broadcast_store.cc
+++ b/source/core/membership/broadcast_store.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-// What fits the milliseconds on the wire.
+// The largest lifetime that the wire format's 32-bit milliseconds can hold.
 constexpr Duration kMaxLifetime =
     std::chrono::milliseconds(std::numeric_limits<std::uint32_t>::max());
 
--- a/source/core/membership/broadcast_store.h
+++ b/source/core/membership/broadcast_store.h
@@ -1,4 +1,4 @@
-// Small payloads of other modules that gossip carries to every member.
+// Stores small payloads of other modules that gossip carries to every member.
 
 #ifndef BULRUSHMOUNT_CORE_MEMBERSHIP_BROADCAST_STORE_H_
 #define BULRUSHMOUNT_CORE_MEMBERSHIP_BROADCAST_STORE_H_
@@ -14,7 +14,8 @@
 
 namespace bulrushmount {
 
-// Which module an item belongs to. The numbers travel.
+// Identifies the module that an item belongs to. The values are sent on the
+// wire.
 using BroadcastKind = StrongType<struct BroadcastKindTag, std::uint32_t>;
 
 // Hash of an item's kind, key and payload.
@@ -23,9 +24,9 @@
 struct BroadcastItem {
   BroadcastKind kind;
   std::string key;
-  // With the key at most kMaxBroadcastBytes.
+  // Together with the key at most kMaxBroadcastBytes.
   std::string payload;
-  // From now on; after it the item travels no more.
+  // Remaining lifetime; an expired item is no longer sent.
   Duration lifetime{};
 };
 
@@ -33,15 +34,15 @@
 
 class BroadcastStore {
  public:
-  // Beyond this many the first to expire goes, so that a flood cannot fill the
-  // memory.
+  // Beyond this number the item that expires first is evicted, so that a flood
+  // of items cannot exhaust the memory.
   static constexpr std::size_t kMaxItems = 512;
 
-  // False if the item is known already, too large or expired.
+  // False if the item is already known, too large or expired.
   bool Add(TimePoint now, const BroadcastItem& item, BroadcastHash& hash);
 
-  // Null if unknown. `lifetime` is what was left when it was added; see
-  // `Remaining`.
+  // Null if unknown. The item's `lifetime` is the one it had when it was added;
+  // see `Remaining` for the current one.
   const BroadcastItem* Find(BroadcastHash hash) const;
   Duration Remaining(TimePoint now, BroadcastHash hash) const;
 
--- a/source/core/membership/byte_budget.h
+++ b/source/core/membership/byte_budget.h
@@ -1,4 +1,4 @@
-// Bounds what a node spends on gossip, whatever happens in the fleet.
+// Limits the bandwidth that a node spends on gossip.
 
 #ifndef BULRUSHMOUNT_CORE_MEMBERSHIP_BYTE_BUDGET_H_
 #define BULRUSHMOUNT_CORE_MEMBERSHIP_BYTE_BUDGET_H_
@@ -10,10 +10,11 @@
 
 namespace bulrushmount {
 
-// A token bucket. Symptom without it: at heavy loss or when a region returns,
-// everybody has news of everybody, each datagram fills up, and control traffic
-// competes with calls. Heartbeats themselves are always sent and may overdraw
-// the budget; news and table comparisons wait until it has recovered.
+// A token bucket of bytes. Under heavy packet loss, or when a region becomes
+// reachable again, every node has news of every other, all datagrams fill up,
+// and without a limit the gossip competes with calls for bandwidth. Heartbeats
+// are always sent and may overdraw the bucket; news and table comparisons wait
+// until it has refilled.
 class ByteBudget {
  public:
   ByteBudget(double bytes_per_second, double burst, TimePoint now)
@@ -34,11 +35,11 @@
   void Spend(std::size_t bytes) { m_tokens -= static_cast<double>(bytes); }
 
   bool HasAny() const { return m_tokens > 0; }
-  bool IsAmple() const { return m_tokens > m_rate * kAmpleSeconds; }
+  bool HasReserve() const { return m_tokens > m_rate * kReserveSeconds; }
 
  private:
-  // What is saved up for so long is ample.
-  static constexpr double kAmpleSeconds = 1.6;
+  // A reserve is what accumulates over this time.
+  static constexpr double kReserveSeconds = 1.6;
 
   double m_rate;
   double m_burst;
--- a/source/core/membership/dissemination.cc
+++ b/source/core/membership/dissemination.cc
@@ -1,5 +1,5 @@
-// Part of `membership.h`: what each datagram carries besides its purpose, and
-// what is made of news.
+// Part of `membership.h`: sends datagrams with piggybacked news, and processes
+// the news of received ones.
 
 #include <algorithm>
 #include <utility>
@@ -38,31 +38,32 @@
                               detail::GossipWriter& writer) {
   const Member* receiver = m_table.Find(to_id);
   if (receiver != nullptr && receiver->state != MemberState::kAlive) {
-    // Whoever is wrongly suspect or dead must hear so in order to refute.
+    // A member that is wrongly suspected or declared dead must learn of it in
+    // order to refute it.
     writer.Add(detail::StateChange{receiver->id, receiver->incarnation,
                                    receiver->state});
   }
   const auto write = [&](const NewsQueue::Subject& subject) {
-    using Verdict = NewsQueue::Verdict;
+    using WriteResult = NewsQueue::WriteResult;
     if (const auto* hash = std::get_if<BroadcastHash>(&subject)) {
       const BroadcastItem* item = m_broadcasts.Find(*hash);
       if (item == nullptr) {
-        return Verdict::kObsolete;
+        return WriteResult::kObsolete;
       }
       return writer.Add(*item, m_broadcasts.Remaining(now, *hash))
-                 ? Verdict::kSent
-                 : Verdict::kNoRoom;
+                 ? WriteResult::kSent
+                 : WriteResult::kNoRoom;
     }
     const Member* member = m_table.Find(std::get<NodeId>(subject));
     if (member == nullptr) {
-      return Verdict::kObsolete;
+      return WriteResult::kObsolete;
     }
     const bool is_added =
         member->state == MemberState::kAlive
             ? writer.Add(*member)
             : writer.Add(detail::StateChange{member->id, member->incarnation,
                                              member->state});
-    return is_added ? Verdict::kSent : Verdict::kNoRoom;
+    return is_added ? WriteResult::kSent : WriteResult::kNoRoom;
   };
   if (m_budget.HasAny()) {
     m_news.Offer(TransmissionLimit(m_table.Live().size()), write);
@@ -86,23 +87,23 @@
   SendWithNews(now, to, to_id, writer);
 }
 
-void Membership::Hurry(TimePoint now) {
-  if (m_budget.IsAmple()) {
+void Membership::ExpediteHeartbeat(TimePoint now) {
+  if (m_budget.HasReserve()) {
     m_next_heartbeat =
-        std::min(m_next_heartbeat, now + m_settings.hurried_heartbeat);
+        std::min(m_next_heartbeat, now + m_settings.expedited_heartbeat_delay);
   }
 }
 
-void Membership::NoteRevision(TimePoint now, Revision revision) {
+void Membership::AdvanceNewestRevision(TimePoint now, Revision revision) {
   if (revision <= m_newest_revision) {
     return;
   }
   m_newest_revision = revision;
-  if (!m_budget.IsAmple()) {
+  if (!m_budget.HasReserve()) {
     return;
   }
-  // Every datagram names the revision; a few at once save waiting for the next
-  // heartbeats, and each node sends them only once a revision.
+  // Every datagram carries the revision. A few pings sent at once save the wait
+  // for the next heartbeats, and each node sends them only once per revision.
   for (int i = 0; i < kRevisionFanout; ++i) {
     const Member* peer = RandomPeer();
     if (peer != nullptr) {
@@ -117,25 +118,27 @@
          sender->incarnation < Incarnation(in.sender_incarnation());
 }
 
-void Membership::TakeNews(TimePoint now, const gossip::Gossip& in) {
+void Membership::ProcessNews(TimePoint now, const gossip::Gossip& in) {
   const bool is_sync = in.type() == gossip::Gossip::SYNC_REPLY;
   for (const gossip::Record& record : in.records()) {
-    TakeRecord(now, detail::ToMember(in, record), is_sync);
+    ProcessRecord(now, detail::ToMember(in, record), is_sync);
   }
   for (const gossip::StateChange& change : in.state_changes()) {
-    TakeStateChange(now, detail::ToStateChange(change), is_sync);
+    ProcessStateChange(now, detail::ToStateChange(change), is_sync);
   }
   for (const gossip::Broadcast& broadcast : in.broadcasts()) {
-    TakeBroadcast(now, detail::ToBroadcastItem(broadcast), is_sync);
+    ProcessBroadcast(now, detail::ToBroadcastItem(broadcast), is_sync);
   }
   m_table.RaiseRevision(NodeId(in.sender()), Revision(in.revision()));
-  NoteRevision(
+  AdvanceNewestRevision(
       now, std::max(Revision(in.revision()), Revision(in.newest_revision())));
 }
 
-void Membership::TakeRecord(TimePoint now, const Member& news, bool is_sync) {
+void Membership::ProcessRecord(TimePoint now,
+                               const Member& news,
+                               bool is_sync) {
   if (IsSelf(news.id)) {
-    TakeStateChange(now, {news.id, news.incarnation, news.state}, is_sync);
+    ProcessStateChange(now, {news.id, news.incarnation, news.state}, is_sync);
     return;
   }
   const Member* known = m_table.Find(news.id);
@@ -145,39 +148,40 @@
     return;
   }
   if (was_dead && IsLive(news.state)) {
-    // A partition has healed or a frozen node came back: compare soon.
-    m_next_sync = std::min(m_next_sync, now + m_settings.hurried_sync_period);
+    // A partition has healed or a paused node has resumed: compare tables soon.
+    m_next_sync = std::min(m_next_sync, now + m_settings.fast_sync_period);
   }
-  NoteState(now, news.id, was_live);
+  OnStateChanged(now, news.id, was_live);
   if (is_sync) {
-    m_next_sync = std::min(m_next_sync, now + m_settings.hurried_sync_period);
+    m_next_sync = std::min(m_next_sync, now + m_settings.fast_sync_period);
   } else {
-    // What a sync brings the sender's neighbours know already; passing on a
-    // whole table would cost each node its size times the logarithm.
+    // Records received by table comparison are not passed on: the sender's
+    // other peers know them already, and passing on a whole table would cost
+    // each node its size times the logarithm of the fleet.
     m_news.Push(news.id);
-    Hurry(now);
+    ExpediteHeartbeat(now);
   }
 }
 
-void Membership::TakeStateChange(TimePoint now,
-                                 const detail::StateChange& news,
-                                 bool is_sync) {
+void Membership::ProcessStateChange(TimePoint now,
+                                    const detail::StateChange& news,
+                                    bool is_sync) {
   if (!IsSelf(news.id)) {
     const Member* known = m_table.Find(news.id);
     const bool was_live = known != nullptr && IsLive(known->state);
     if (m_table.ApplyState(now, news.id, news.incarnation, news.state)) {
-      NoteState(now, news.id, was_live);
+      OnStateChanged(now, news.id, was_live);
       if (!is_sync) {
         m_news.Push(news.id);
       }
       if (!is_sync && news.state != MemberState::kSuspect) {
-        Hurry(now);
+        ExpediteHeartbeat(now);
       }
     }
     return;
   }
-  const bool is_suspicion =
-      Precedes(news.incarnation, news.state, self().incarnation, self().state);
+  const bool is_suspicion = Supersedes(news.incarnation, news.state,
+                                       self().incarnation, self().state);
   if (!is_suspicion || IsLeaving()) {
     return;
   }
@@ -186,17 +190,17 @@
   RaiseOwnIncarnation(now, news.incarnation);
 }
 
-void Membership::TakeBroadcast(TimePoint now,
-                               const BroadcastItem& item,
-                               bool is_sync) {
+void Membership::ProcessBroadcast(TimePoint now,
+                                  const BroadcastItem& item,
+                                  bool is_sync) {
   BroadcastHash hash;
   if (!m_broadcasts.Add(now, item, hash)) {
     return;
   }
-  m_heard_broadcasts.push_back(item);
+  m_received_broadcasts.push_back(item);
   if (!is_sync) {
     m_news.Push(hash);
-    Hurry(now);
+    ExpediteHeartbeat(now);
   }
 }
 
--- a/source/core/membership/failure_detection.cc
+++ b/source/core/membership/failure_detection.cc
@@ -1,4 +1,5 @@
-// Part of `membership.h`: heartbeats, indirect heartbeats and suspicions.
+// Part of `membership.h`: heartbeats, indirect pings through helpers, and
+// suspicions.
 
 #include <algorithm>
 #include <functional>
@@ -12,7 +13,8 @@
 
 namespace {
 
-// A helper says that it failed early enough for its word to arrive in time.
+// A helper reports failure after this share of the indirect timeout, early
+// enough for the nack to arrive in time.
 constexpr double kRelayTimeShare = 0.6;
 
 }  // namespace
@@ -22,7 +24,7 @@
   if (m_next_heartbeat <= now) {
     m_next_heartbeat = now + m_settings.heartbeat_period;
   }
-  ForgetOld(now);
+  ExpireOldEntries(now);
   SpreadDeparture(now);
   const Member* target = m_schedule.Next(m_table, m_random);
   if (target == nullptr) {
@@ -31,9 +33,9 @@
   const std::uint32_t sequence = m_next_sequence++;
   Probe probe;
   probe.target = target->id;
-  probe.ask_others_at = now + m_health.Stretch(m_settings.direct_timeout);
+  probe.ping_requests_at = now + m_health.Stretch(m_settings.direct_timeout);
   probe.give_up_at =
-      probe.ask_others_at + m_health.Stretch(m_settings.indirect_timeout);
+      probe.ping_requests_at + m_health.Stretch(m_settings.indirect_timeout);
   m_probes.emplace(sequence, probe);
   Ping(now, *target, sequence);
 }
@@ -42,7 +44,8 @@
                       const Member& target,
                       std::uint32_t sequence) {
   detail::GossipWriter writer = NewMessage(gossip::Gossip::PING, sequence);
-  // A replacement at the same address must not answer for its predecessor.
+  // A replacement node at the same address must not answer a ping for its
+  // predecessor.
   writer.message().set_subject(target.id.value());
   SendWithNews(now, target.gossip_endpoint, target.id, writer);
 }
@@ -50,11 +53,11 @@
 void Membership::CheckProbes(TimePoint now) {
   for (auto it = m_probes.begin(); it != m_probes.end();) {
     Probe& probe = it->second;
-    if (!probe.has_asked_others && now >= probe.ask_others_at) {
-      AskOthers(it->first, probe);
+    if (!probe.has_sent_ping_requests && now >= probe.ping_requests_at) {
+      SendPingRequests(it->first, probe);
       probe.next_retry = now;
     }
-    if (probe.has_asked_others && now >= probe.next_retry) {
+    if (probe.has_sent_ping_requests && now >= probe.next_retry) {
       RetryProbe(now, it->first, probe);
     }
     if (now >= probe.give_up_at) {
@@ -76,8 +79,8 @@
   }
 }
 
-void Membership::AskOthers(std::uint32_t sequence, Probe& probe) {
-  probe.has_asked_others = true;
+void Membership::SendPingRequests(std::uint32_t sequence, Probe& probe) {
+  probe.has_sent_ping_requests = true;
   const Member* target = m_table.Find(probe.target);
   if (target == nullptr || !IsLive(target->state)) {
     return;
@@ -92,28 +95,29 @@
 }
 
 MemberTable::Pointers Membership::PickHelpers(const Member& target) {
-  using Wish = std::function<bool(const Member&)>;
-  // Close to the target, for the path to it may be cut; close to this node,
-  // so that one helper is left when the target's whole region is cut off.
-  const Wish in_target_zone = [&](const Member& member) {
+  using Predicate = std::function<bool(const Member&)>;
+  // Helpers close to the target, as the path from here to it may be cut; and
+  // one close to this node, so that a helper remains reachable when the
+  // target's whole region is cut off.
+  const Predicate in_target_zone = [&](const Member& member) {
     return member.zone == target.zone;
   };
-  const Wish in_own_region = [&](const Member& member) {
+  const Predicate in_own_region = [&](const Member& member) {
     return member.region == self().region;
   };
-  const Wish in_target_region = [&](const Member& member) {
+  const Predicate in_target_region = [&](const Member& member) {
     return member.region == target.region;
   };
-  const Wish anyone = [](const Member&) { return true; };
+  const Predicate anyone = [](const Member&) { return true; };
   MemberTable::Pointers helpers;
-  const auto pick = [&](const Wish& wish) {
+  const auto pick = [&](const Predicate& matches) {
     MemberTable::Pointers candidates;
     for (const Member* member : m_table.Live()) {
       const bool is_free =
           !IsSelf(member->id) && member->id != target.id &&
           member->state == MemberState::kAlive &&
           std::find(helpers.begin(), helpers.end(), member) == helpers.end();
-      if (is_free && wish(*member)) {
+      if (is_free && matches(*member)) {
         candidates.push_back(member);
       }
     }
@@ -122,8 +126,9 @@
     }
     helpers.push_back(candidates[m_random.Index(candidates.size())]);
   };
-  for (const Wish& wish : {in_own_region, in_target_zone, in_target_region}) {
-    pick(wish);
+  for (const Predicate& matches :
+       {in_own_region, in_target_zone, in_target_region}) {
+    pick(matches);
   }
   for (std::size_t i = 0; i < m_settings.indirect_helpers; ++i) {
     pick(anyone);
@@ -133,7 +138,7 @@
 
 void Membership::StartSuspicion(TimePoint now, const Probe& probe) {
   if (probe.helpers > 0 && probe.nacks == 0) {
-    // Not even a helper was heard: more likely this node is the deaf one.
+    // No helper responded either, so the fault is more likely at this node.
     m_health.Worsen();
   }
   const Member* target = m_table.Find(probe.target);
@@ -144,7 +149,7 @@
                          MemberState::kSuspect)) {
     ++m_counters.suspicions;
     m_news.Push(target->id);
-    NoteState(now, target->id, true);
+    OnStateChanged(now, target->id, true);
   }
   Suspicion& suspicion = m_suspicions[target->id];
   suspicion.due = std::min(suspicion.due,
@@ -178,15 +183,16 @@
       continue;
     }
     if (now >= suspicion.due) {
-      // Neither the initiator's verdict nor a refutation came, perhaps because
-      // it was lost on the way here. Hearsay alone condemns nobody.
+      // Neither the initiator's death report nor a refutation has arrived,
+      // perhaps because it was lost. A member is not declared dead on the
+      // report of others alone, so this node starts pinging it.
       suspicion.is_initiator = true;
       suspicion.due = now + m_health.Stretch(m_settings.suspicion_time);
       suspicion.next_ping = now;
     }
     if (suspicion.is_initiator && now >= suspicion.next_ping) {
-      // The ping carries the accusation, so that the suspects can refute it
-      // although every other datagram to it should be lost.
+      // The ping carries the suspicion, so that the member can refute it even
+      // if every other datagram to it is lost.
       suspicion.next_ping = now + m_settings.heartbeat_period / 2;
       Ping(now, *m_table.Find(id), m_next_sequence++);
     }
@@ -201,8 +207,8 @@
   m_table.ApplyState(now, id, incarnation, MemberState::kDead);
   ++m_counters.deaths_declared;
   m_news.Push(id);
-  NoteState(now, id, true);
-  Hurry(now);
+  OnStateChanged(now, id, true);
+  ExpediteHeartbeat(now);
   LogLine(LogLevel::kInfo, "membership.dead").Add("node", id);
 }
 
@@ -219,10 +225,11 @@
                         const gossip::Gossip& in) {
   const NodeId subject(in.subject());
   if (subject != NodeId() && !IsSelf(subject)) {
-    // Meant for this node's predecessor at the address. It is answered by
-    // nobody, but a newcomer that cannot read the table learns of a peer by
-    // it. What goes wrong else: with the table down a replacement that misses
-    // the news of its predecessor's death stays alone until the table is back.
+    // The ping is meant for this node's predecessor at the address and gets no
+    // ack. If this node knows no other member, it uses the sender's address to
+    // join: while the table is down, a replacement that missed the news of its
+    // predecessor's death would otherwise stay isolated until the table is
+    // back.
     if (!HasPeers()) {
       Introduce(now, {from});
     }
--- a/source/core/membership/gossip_codec.cc
+++ b/source/core/membership/gossip_codec.cc
@@ -13,14 +13,16 @@
 
 namespace {
 
-// Tag and length of a nested message; all of them are shorter than 16 KiB.
+// Tag and length of a nested message, all of which are shorter than 16 KiB.
 constexpr std::size_t kNestedOverhead = 3;
-// `wants_record`, `has_more` and the like may still be set after the filling.
+// Room for fields such as `wants_record` and `has_more`, which may be set after
+// the message was filled.
 constexpr std::size_t kReserved = 16;
 constexpr std::size_t kMaxNameBytes = 128;
 
-// Leaves room to rise: a forged or broken incarnation near the end of the range
-// would wrap to 0 at the next refutation, and the member stay dead for ever.
+// Leaves room for increments: a forged or corrupt incarnation near the end of
+// the range would wrap to 0 at the next refutation, and the member would stay
+// dead for ever.
 constexpr std::uint64_t kMaxIncarnation = std::uint64_t{1} << 62;
 
 bool IsIncarnation(std::uint64_t incarnation) {
--- a/source/core/membership/gossip_codec.h
+++ b/source/core/membership/gossip_codec.h
@@ -1,4 +1,4 @@
-// Between the gossip messages on the wire and the types of this module.
+// Converts between gossip messages on the wire and the types of this module.
 
 #ifndef BULRUSHMOUNT_CORE_MEMBERSHIP_GOSSIP_CODEC_H_
 #define BULRUSHMOUNT_CORE_MEMBERSHIP_GOSSIP_CODEC_H_
@@ -26,8 +26,8 @@
   MemberState state = MemberState::kAlive;
 };
 
-// Fills one message up to the size of a datagram. What does not fit is left
-// out, and the caller told so.
+// Fills one message up to the maximum size of a datagram. `Add` returns false
+// and leaves the message unchanged if the item does not fit.
 class GossipWriter {
  public:
   explicit GossipWriter(gossip::Gossip message);
@@ -40,9 +40,10 @@
   std::string Take();
 
  private:
-  // Index of `name` in the message, which a new one enters.
+  // Index of `name` in the message's name list, from 1; adds the name if it is
+  // new.
   std::uint32_t IndexOf(const std::string& name);
-  // Undoes the names that came after the first `count`.
+  // Removes the names after the first `count`.
   void DropNames(int count);
   bool Fits(std::size_t bytes) const;
 
@@ -51,11 +52,11 @@
   std::map<std::string, std::uint32_t> m_names;
 };
 
-// Empty if it is no message of this protocol or any field is out of range:
-// such a datagram is dropped whole.
+// Empty if the payload is not a message of this protocol or any field is out of
+// range: such a datagram is dropped as a whole.
 std::optional<gossip::Gossip> ParseGossip(std::string_view payload);
 
-// Of a message that passed ParseGossip.
+// These require a message that passed ParseGossip.
 Member ToMember(const gossip::Gossip& message, const gossip::Record& record);
 StateChange ToStateChange(const gossip::StateChange& change);
 BroadcastItem ToBroadcastItem(const gossip::Broadcast& broadcast);
--- a/source/core/membership/heartbeat_schedule.cc
+++ b/source/core/membership/heartbeat_schedule.cc
@@ -33,7 +33,8 @@
                                         bool is_near,
                                         const MemberTable& table,
                                         RandomSource& random) {
-  // The second try runs over a fresh round; if that is empty, nobody is there.
+  // The second attempt runs over a fresh round; if that is empty, there is no
+  // such member.
   for (int attempt = 0; attempt < 2; ++attempt) {
     while (round.next < round.ids.size()) {
       const Member* member = table.Find(round.ids[round.next++]);
--- a/source/core/membership/heartbeat_schedule.h
+++ b/source/core/membership/heartbeat_schedule.h
@@ -1,5 +1,5 @@
-// Whom to send the next heartbeat: a shuffled round robin over the members of
-// the own region, and another over the rest.
+// Selects the member for the next heartbeat: a shuffled round robin over the
+// members of this node's region, and another over the members of other regions.
 
 #ifndef BULRUSHMOUNT_CORE_MEMBERSHIP_HEARTBEAT_SCHEDULE_H_
 #define BULRUSHMOUNT_CORE_MEMBERSHIP_HEARTBEAT_SCHEDULE_H_
@@ -17,11 +17,12 @@
   // Every `far_interval`th heartbeat goes to another region.
   HeartbeatSchedule(NodeId self, Region region, std::size_t far_interval);
 
-  // Each live member comes up once a round. Null if there is none but self.
+  // Returns each live member once per round. Null if there is no other live
+  // member.
   const Member* Next(const MemberTable& table, RandomSource& random);
 
-  // A newcomer enters the current round: else nobody would watch it until
-  // rounds end, which takes minutes in a large fleet.
+  // Inserts a new member into the current round. Otherwise nobody would monitor
+  // it until rounds end, which takes minutes in a large fleet.
   void Add(const Member& member, RandomSource& random);
 
  private:
--- a/source/core/membership/local_health.h
+++ b/source/core/membership/local_health.h
@@ -1,4 +1,4 @@
-// How far a node may trust its own judgement of others.
+// Estimates how reliable this node's own failure detection is at the moment.
 
 #ifndef BULRUSHMOUNT_CORE_MEMBERSHIP_LOCAL_HEALTH_H_
 #define BULRUSHMOUNT_CORE_MEMBERSHIP_LOCAL_HEALTH_H_
@@ -9,24 +9,24 @@
 
 namespace bulrushmount {
 
-// A node that is starved of CPU or cut off misses answers that did arrive or
-// were never asked for, and would accuse healthy members. It notices by late
-// timers, missing answers of helpers and suspicions of itself, and then waits
-// longer before it accuses.
+// A node that lacks CPU time or network connectivity misses acks that were
+// sent, and would suspect healthy members. Late timers, missing nacks from
+// helpers and suspicions of this node itself raise the score; a higher score
+// lengthens the timeouts of failure detection.
 class LocalHealth {
  public:
-  void Worsen(int by = 1) { m_score = std::min(m_score + by, kWorst); }
+  void Worsen(int by = 1) { m_score = std::min(m_score + by, kMaxScore); }
   void Improve() { m_score = std::max(m_score - 1, 0); }
 
-  // A timeout, longer the worse this node's own state is.
+  // `timeout` multiplied by the score plus 1.
   Duration Stretch(Duration timeout) const { return timeout * (1 + m_score); }
 
   int score() const { return m_score; }
 
  private:
-  static constexpr int kWorst = 6;
+  static constexpr int kMaxScore = 6;
 
-  // 0 is well.
+  // 0 means healthy.
   int m_score = 0;
 };
 
--- a/source/core/membership/member.h
+++ b/source/core/membership/member.h
@@ -1,4 +1,4 @@
-// What every node knows of every other one: the record that gossip carries.
+// The record of a member as every node stores it and gossip carries it.
 
 #ifndef BULRUSHMOUNT_CORE_MEMBERSHIP_MEMBER_H_
 #define BULRUSHMOUNT_CORE_MEMBERSHIP_MEMBER_H_
@@ -12,11 +12,12 @@
 
 namespace bulrushmount {
 
-// Orders what is heard about one member: a higher incarnation goes first, then
-// the later state of this list.
+// The order of the enumerators decides between two reports about the same
+// incarnation: the later state wins. A report with a higher incarnation always
+// wins.
 enum class MemberState : std::uint8_t { kAlive, kSuspect, kLeft, kDead };
 
-// For logs and pages.
+// The state's name in logs and status pages.
 constexpr std::string_view ToToken(MemberState state) {
   switch (state) {
     case MemberState::kAlive:
@@ -31,17 +32,20 @@
   return "dead";
 }
 
-// What an owner says of the target beside it. It changes at life-cycle events,
-// not with load: load travels on answers and refusals.
+// State of the target next to a member, as that member reports it. It changes
+// with the target's life cycle and not with its load: load travels in responses
+// and refusals.
 struct TargetSummary {
   ServiceName service;
-  // Rises at each restart of the target.
+  // Increases with each restart of the target.
   Incarnation incarnation;
-  // Requests it runs at once when nothing disturbs it.
+  // Number of requests that the target runs concurrently under normal
+  // conditions.
   std::uint32_t slots = 0;
-  // Takes new work. False while the target drains or has failed.
+  // Whether the target accepts new requests. False while it drains or has
+  // failed.
   bool is_serving = false;
-  // Still within its cold start.
+  // Whether the target is still in its cold start.
   bool is_warming = false;
 
   friend bool operator==(const TargetSummary&, const TargetSummary&) = default;
@@ -53,11 +57,11 @@
   Endpoint gossip_endpoint;
   AvailabilityZone zone;
   Region region;
-  // Raised by the member itself only, when it changes its record or refutes a
-  // suspicion.
+  // Increased by the member itself only, when its record changes or when it
+  // refutes a suspicion.
   Incarnation incarnation;
   MemberState state = MemberState::kAlive;
-  // The newest configuration that the member has in force.
+  // Revision of the configuration that is in force at the member.
   Revision revision;
   std::optional<TargetSummary> target;
 
--- a/source/core/membership/member_directory.cc
+++ b/source/core/membership/member_directory.cc
@@ -19,20 +19,21 @@
 constexpr std::string_view kPrefix = "member/";
 constexpr int kHexBase = 16;
 
-// More addresses than this at once would only be tried in vain.
-constexpr std::size_t kMaxFound = 8;
-// Newcomers choose among so many of the newest rows, so that not all of them
-// turn to one member.
+// Number of addresses handed out per attempt. One responding address is enough.
+constexpr std::size_t kMaxAddressesPerAttempt = 8;
+// A new node chooses at random among this many of the newest rows, so that new
+// nodes do not all contact the same member.
 constexpr std::size_t kNewestRows = 64;
-// Of the addresses tried in vain, so many tell that nearly all rows are of
-// nodes that are gone.
-constexpr std::size_t kMaxDiscoveryTries = 2 * kMaxFound;
-// Who knows more members than this has found the fleet.
-constexpr std::size_t kEnoughMet = 8;
-// The first wait of a node that met nobody; it doubles up to lone_interval.
-constexpr Duration kFirstLoneWait = std::chrono::seconds(1);
-
-// One row, read.
+// After this many addresses without response, nearly all rows presumably belong
+// to nodes that are gone.
+constexpr std::size_t kMaxDiscoveryTries = 2 * kMaxAddressesPerAttempt;
+// A node that knows more members than this has found the fleet.
+constexpr std::size_t kEnoughMembers = 8;
+// Initial delay between scans of a node that has found no member; it doubles up
+// to the isolated interval of the settings.
+constexpr Duration kMinIsolatedWait = std::chrono::seconds(1);
+
+// A parsed row.
 struct DirectoryRow {
   NodeId id;
   Endpoint gossip_endpoint;
@@ -55,7 +56,7 @@
   return fmt::format("{} {}", ToString(endpoint), renewals);
 }
 
-// Empty for a row that is none of this release's: it is left alone.
+// Empty for a row in an unknown format; such a row is left alone.
 std::optional<DirectoryRow> ParseRow(const Row& row) {
   const std::string_view key = row.key;
   const std::string_view value = row.value;
@@ -87,8 +88,8 @@
 }
 
 struct MemberDirectory::State : std::enable_shared_from_this<State> {
-  // When a row's renewal counter was first seen at its present value.
-  struct Sighting {
+  // The value of a row's renewal counter and when it was first seen.
+  struct RenewalObservation {
     std::uint64_t renewals = 0;
     TimePoint since;
   };
@@ -106,7 +107,7 @@
         random(its_random),
         service(its_service) {}
 
-  // 0.75 to 1.25 times the duration, so that nodes spread out.
+  // 0.75 to 1.25 times the duration, so that the nodes' requests spread out.
   Duration Jittered(Duration duration) {
     return Scaled(duration, 0.75 + random.Fraction() / 2);
   }
@@ -125,7 +126,8 @@
     return Interval(settings.fleet_scans_per_second);
   }
 
-  // One request at a time: a slow table is not asked the more for it.
+  // Only one request is outstanding at a time, so that a slow table does not
+  // get more load.
   void Submit(TableRequest request, Handler handler) {
     is_waiting = true;
     service.Submit(std::move(request),
@@ -140,8 +142,8 @@
                    });
   }
 
-  // A node without a row has nothing to write again: in the first epoch that it
-  // sees it has none.
+  // A node without a row has nothing to rewrite. A node enters its first epoch
+  // before it has written a row.
   void EnterEpoch(TimePoint now, TableEpoch entered) {
     if (entered <= epoch) {
       return;
@@ -149,7 +151,7 @@
     epoch = entered;
     may_prune = false;
     found.clear();
-    offered = 0;
+    handed_out = 0;
     if (renewals > 0) {
       next_renewal =
           std::min(next_renewal,
@@ -157,8 +159,10 @@
     }
   }
 
-  // True if the table answered; else the next try is put off.
-  bool NoteReply(TimePoint now, const TableReply& reply, TimePoint& next_try) {
+  // True if the table responded; otherwise schedules the next attempt.
+  bool HandleReplyStatus(TimePoint now,
+                         const TableReply& reply,
+                         TimePoint& next_try) {
     EnterEpoch(now, reply.epoch);
     const bool has_answered = reply.status == TableStatus::kOk ||
                               reply.status == TableStatus::kConditionFailed;
@@ -180,7 +184,7 @@
   }
 
   void OnRenewed(TimePoint now, const TableReply& reply) {
-    if (!NoteReply(now, reply, next_renewal)) {
+    if (!HandleReplyStatus(now, reply, next_renewal)) {
       return;
     }
     next_renewal = now + Jittered(RenewalInterval());
@@ -192,29 +196,30 @@
   void Scan() { Submit(TableScan{std::string(kPrefix)}, &State::OnScanned); }
 
   void OnScanned(TimePoint now, const TableReply& reply) {
-    if (!NoteReply(now, reply, next_scan)) {
+    if (!HandleReplyStatus(now, reply, next_scan)) {
       return;
     }
     next_scan = now + Jittered(ScanInterval());
     found.clear();
-    std::map<NodeId, Sighting> seen;
+    std::map<NodeId, RenewalObservation> seen;
     for (const Row& row : reply.rows) {
       const std::optional<DirectoryRow> parsed = ParseRow(row);
       if (!parsed || parsed->id == id) {
         continue;
       }
       found.push_back(*parsed);
-      const auto before = sightings.find(parsed->id);
-      const bool has_stood_still = before != sightings.end() &&
-                                   before->second.renewals == parsed->renewals;
-      seen[parsed->id] =
-          has_stood_still ? before->second : Sighting{parsed->renewals, now};
+      const auto before = observations.find(parsed->id);
+      const bool is_unchanged = before != observations.end() &&
+                                before->second.renewals == parsed->renewals;
+      seen[parsed->id] = is_unchanged
+                             ? before->second
+                             : RenewalObservation{parsed->renewals, now};
     }
-    sightings = std::move(seen);
+    observations = std::move(seen);
     rows_found = found.size();
     OrderFound();
-    is_offer_due = true;
-    next_offer = now + settings.meeting_time;
+    has_addresses_to_try = true;
+    next_contact_attempt = now + settings.contact_timeout;
     may_prune = true;
     if (renewals == 0 && found.size() < settings.wanted_rows) {
       must_rescan = found.empty();
@@ -222,10 +227,10 @@
     }
   }
 
-  // The newest rows first, as their nodes are the likeliest to be there; of
-  // these any.
+  // Orders the newest rows first, as their nodes are most likely to be
+  // reachable, and shuffles them among each other.
   void OrderFound() {
-    offered = 0;
+    handed_out = 0;
     std::sort(found.begin(), found.end(),
               [](const auto& left, const auto& right) {
                 return left.version > right.version;
@@ -235,58 +240,60 @@
     }
   }
 
-  // Symptom without the count: two nodes that met each other first, among rows
-  // that lead nowhere, take themselves for the fleet.
-  bool HasMetEnough() const {
-    return !is_alone && fleet_size > std::min(found.size(), kEnoughMet);
+  // Requires a minimum number of members: otherwise two nodes that find each
+  // other first, among rows of nodes that are gone, would consider themselves
+  // the whole fleet.
+  bool HasEnoughMembers() const {
+    return !is_isolated && fleet_size > std::min(found.size(), kEnoughMembers);
   }
 
-  void MeetOthers(TimePoint now) {
-    if (!rows_found || HasMetEnough()) {
-      next_offer = TimePoint::max();
-      lone_wait = kFirstLoneWait;
-    } else if (next_offer == TimePoint::max()) {
-      next_offer = now + settings.meeting_time;
-    } else if (now >= next_offer) {
-      GoOnMeeting(now);
+  void ContactMembers(TimePoint now) {
+    if (!rows_found || HasEnoughMembers()) {
+      next_contact_attempt = TimePoint::max();
+      isolated_wait = kMinIsolatedWait;
+    } else if (next_contact_attempt == TimePoint::max()) {
+      next_contact_attempt = now + settings.contact_timeout;
+    } else if (now >= next_contact_attempt) {
+      ContactNextAddresses(now);
     }
   }
 
-  // The other addresses that were found are tried without asking the table
-  // again. After some in vain a lone node keeps a row, so that others meet it,
-  // and looks for theirs: where all nodes have new addresses, nobody else would
-  // begin.
-  void GoOnMeeting(TimePoint now) {
-    next_offer = now + settings.meeting_time;
-    if (is_alone && renewals == 0 &&
-        offered >= std::min(found.size(), kMaxDiscoveryTries)) {
+  // Tries the remaining addresses without reading the table again. After
+  // several addresses without response an isolated node writes its own row, so
+  // that others can find it, and scans for theirs: when all nodes have new
+  // addresses, none of them would otherwise write the first row.
+  void ContactNextAddresses(TimePoint now) {
+    next_contact_attempt = now + settings.contact_timeout;
+    if (is_isolated && renewals == 0 &&
+        handed_out >= std::min(found.size(), kMaxDiscoveryTries)) {
       must_rescan = true;
       next_renewal = now;
     }
-    if (offered < found.size()) {
-      is_offer_due = true;
+    if (handed_out < found.size()) {
+      has_addresses_to_try = true;
       return;
     }
-    if (!is_alone) {
-      next_offer = now + settings.lone_interval;
+    if (!is_isolated) {
+      next_contact_attempt = now + settings.isolated_interval;
       return;
     }
-    next_scan = std::min(next_scan, now + Jittered(lone_wait));
-    next_offer = next_scan + settings.meeting_time;
-    lone_wait = std::min(lone_wait * 2, settings.lone_interval);
+    next_scan = std::min(next_scan, now + Jittered(isolated_wait));
+    next_contact_attempt = next_scan + settings.contact_timeout;
+    isolated_wait = std::min(isolated_wait * 2, settings.isolated_interval);
   }
 
-  // Rows that stood still and whose nodes gossip does not hold as live. The
-  // row's version is a condition: a node that came back meanwhile keeps its
-  // row.
+  // Deletes rows whose renewal counter has not changed and whose nodes are not
+  // live according to gossip. The row's version is a condition of the
+  // transaction: a node that came back in the meantime keeps its row.
   void Prune(TimePoint now, const MemberTable& table) {
     may_prune = false;
-    const Duration patience = RenewalInterval() * settings.prune_after_renewals;
+    const Duration prune_age =
+        RenewalInterval() * settings.prune_after_renewals;
     TableTransact transact;
     for (const DirectoryRow& row : found) {
       const Member* member = table.Find(row.id);
       const bool is_live = member != nullptr && IsLive(member->state);
-      const bool is_old = now - sightings[row.id].since >= patience;
+      const bool is_old = now - observations[row.id].since >= prune_age;
       if (is_live || !is_old ||
           transact.deletes.size() == settings.max_prunes_per_scan) {
         continue;
@@ -302,7 +309,7 @@
     Submit(std::move(transact), &State::OnPruned);
   }
 
-  // Without effect it is tried again after the next scan.
+  // A failed deletion is repeated after the next scan.
   void OnPruned(TimePoint /*now*/, const TableReply& /*reply*/) {}
 
   void Delete() {
@@ -312,7 +319,7 @@
   }
 
   void OnDeleted(TimePoint now, const TableReply& reply) {
-    has_left = NoteReply(now, reply, next_delete);
+    has_left = HandleReplyStatus(now, reply, next_delete);
   }
 
   MemberDirectorySettings settings;
@@ -324,29 +331,30 @@
   TableEpoch epoch;
   std::uint64_t renewals = 0;
   std::size_t fleet_size = 1;
-  bool is_alone = true;
+  bool is_isolated = true;
   bool is_waiting = false;
   bool is_leaving = false;
   bool has_left = false;
-  // The own row is the first that this node knows of.
+  // This node found no row or no responding member, and scans again after it
+  // has written its own row.
   bool must_rescan = false;
-  // Addresses found wait to be handed out.
-  bool is_offer_due = false;
-  // The last scan's rows were not yet looked through.
+  // TakeDiscoveredEndpoints() may hand out addresses.
+  bool has_addresses_to_try = false;
+  // The rows of the last scan have not been checked for pruning yet.
   bool may_prune = false;
-  // No row of its own is wanted before the first scan.
+  // No row is written before the first scan.
   TimePoint next_renewal = TimePoint::max();
   TimePoint next_scan;
-  // When a node that has met nobody tries something else.
-  TimePoint next_offer = TimePoint::max();
+  // When a node that has not found enough members makes its next attempt.
+  TimePoint next_contact_attempt = TimePoint::max();
   TimePoint next_delete;
   Duration backoff{};
-  Duration lone_wait = kFirstLoneWait;
+  Duration isolated_wait = kMinIsolatedWait;
   std::optional<std::size_t> rows_found;
   std::vector<DirectoryRow> found;
-  // So many of them have been handed out.
-  std::size_t offered = 0;
-  std::map<NodeId, Sighting> sightings;
+  // Number of entries of `found` that have been handed out.
+  std::size_t handed_out = 0;
+  std::map<NodeId, RenewalObservation> observations;
 };
 
 MemberDirectory::MemberDirectory(const MemberDirectorySettings& settings,
@@ -369,7 +377,7 @@
 void MemberDirectory::OnTimer(TimePoint now, const MemberTable& table) {
   State& state = *m_state;
   state.fleet_size = std::max<std::size_t>(table.Live().size(), 1);
-  state.is_alone = table.Live().size() <= 1;
+  state.is_isolated = table.Live().size() <= 1;
   if (state.is_waiting || state.has_left) {
     return;
   }
@@ -379,9 +387,9 @@
     }
     return;
   }
-  state.MeetOthers(now);
-  // The row goes before the scan: of two nodes that found none at once, at
-  // least one then sees the other.
+  state.ContactMembers(now);
+  // Writes the row before the next scan: if two nodes found no row at the same
+  // time, at least one of them then sees the other's.
   if (now >= state.next_renewal) {
     state.Renew();
   } else if (now >= state.next_scan) {
@@ -402,7 +410,8 @@
   if (state.may_prune) {
     return TimePoint::min();
   }
-  return std::min({state.next_renewal, state.next_scan, state.next_offer});
+  return std::min(
+      {state.next_renewal, state.next_scan, state.next_contact_attempt});
 }
 
 void MemberDirectory::Leave(TimePoint now) {
@@ -417,7 +426,7 @@
 
 void MemberDirectory::OnTableAvailable(TimePoint now) {
   State& state = *m_state;
-  if (state.is_alone || !state.rows_found) {
+  if (state.is_isolated || !state.rows_found) {
     state.next_scan = std::min(state.next_scan, now);
   }
 }
@@ -431,16 +440,19 @@
 }
 
 std::vector<Endpoint> MemberDirectory::TakeFound(const MemberTable& table) {
-  if (!std::exchange(m_state->is_offer_due, false)) {
+  if (!std::exchange(m_state->has_addresses_to_try, false)) {
     return {};
   }
   std::vector<Endpoint> endpoints;
   const std::vector<DirectoryRow>& found = m_state->found;
-  std::size_t& offered = m_state->offered;
-  for (; offered < found.size() && endpoints.size() < kMaxFound; ++offered) {
-    // Gossip itself goes on trying the dead; the departed want no visit.
-    if (table.Find(found[offered].id) == nullptr) {
-      endpoints.push_back(found[offered].gossip_endpoint);
+  std::size_t& handed_out = m_state->handed_out;
+  for (;
+       handed_out < found.size() && endpoints.size() < kMaxAddressesPerAttempt;
+       ++handed_out) {
+    // Gossip itself keeps pinging dead members, and departed ones need not be
+    // contacted.
+    if (table.Find(found[handed_out].id) == nullptr) {
+      endpoints.push_back(found[handed_out].gossip_endpoint);
     }
   }
   return endpoints;
--- a/source/core/membership/member_directory.h
+++ b/source/core/membership/member_directory.h
@@ -1,11 +1,12 @@
-// Introduces newcomers by way of the platform's table: a few nodes keep the row
-// `member/<id in hex>` with their address. The rows decide nothing: who is
-// alive is gossip's to say, which goes on while the table is down.
+// Lets a new node discover members through the platform's table: a few nodes
+// keep a row `member/<id in hex>` with their address. The rows only provide
+// addresses; gossip alone decides who is alive, and it works while the table is
+// down.
 //
-// The load it answers: hundreds of nodes that start at once and know nobody.
-// One read of the rows suffices for each to meet a member; were each to keep a
-// row as well, the table's cost would grow with the fleet for rows that nobody
-// reads.
+// The design limits the load of hundreds of nodes that start at once and know
+// no member. One scan suffices for each to find a member. If every node kept a
+// row as well, the load on the table would grow with the fleet for rows that
+// nobody reads.
 
 #ifndef BULRUSHMOUNT_CORE_MEMBERSHIP_MEMBER_DIRECTORY_H_
 #define BULRUSHMOUNT_CORE_MEMBERSHIP_MEMBER_DIRECTORY_H_
@@ -29,37 +30,41 @@
 namespace bulrushmount {
 
 struct MemberDirectorySettings {
-  // Of the whole fleet together, however large.
+  // Rates of the whole fleet together, whatever its size.
   double fleet_scans_per_second = 0.2;
   double fleet_renewals_per_second = 2.0;
-  // The first scan comes at random within this. Where the whole fleet starts
-  // for the first time, most nodes then find a row and need none of their own.
+  // The first scan happens at a random time within this window. When a whole
+  // fleet starts for the first time, most nodes then find rows and need not
+  // write their own.
   Duration start_window{};
-  // A node that finds fewer rows writes one.
+  // A node that finds fewer rows than this writes one.
   std::size_t wanted_rows = 64;
-  // So long found addresses have to answer before others are tried.
-  Duration meeting_time = std::chrono::seconds(1);
-  // A node that found no row looks again so soon after it wrote its own: others
-  // may have found none at the same time.
+  // How long found addresses have to respond before others are tried.
+  Duration contact_timeout = std::chrono::seconds(1);
+  // A node that found no row scans again this long after it wrote its own:
+  // other nodes may have found none at the same time.
   Duration rescan_delay = std::chrono::milliseconds(100);
-  // Longest time between two scans or renewals of a small fleet's node.
+  // Shortest interval between two scans or two renewals; it applies while the
+  // fleet is small.
   Duration min_interval = std::chrono::seconds(10);
-  // The same for a node that knows no other.
-  Duration lone_interval = std::chrono::seconds(10);
-  // After a restore the nodes that keep rows write them again within this.
+  // Longest interval between two scans of a node that knows no other member.
+  Duration isolated_interval = std::chrono::seconds(10);
+  // After a restore of the table, nodes that keep rows rewrite them within this
+  // time.
   Duration restore_window = std::chrono::seconds(3);
-  // The back-off while the table does not answer, jittered.
+  // Bounds of the jittered back-off while the table does not respond.
   Duration min_backoff = std::chrono::milliseconds(200);
   Duration max_backoff = std::chrono::seconds(15);
-  // A row of an unknown or dead node goes when its renewal counter stood still
-  // for this many of the fleet's renewal intervals.
+  // The row of an unknown or dead node is deleted when its renewal counter has
+  // not changed for this many of the fleet's renewal intervals.
   int prune_after_renewals = 3;
   std::size_t max_prunes_per_scan = 4;
 };
 
 class MemberDirectory {
  public:
-  // The arguments must outlive this; replies that come later are ignored.
+  // `random` and `service` must outlive this object. Replies that arrive after
+  // its destruction are ignored.
   MemberDirectory(const MemberDirectorySettings& settings,
                   NodeId self,
                   Endpoint gossip_endpoint,
@@ -68,37 +73,39 @@
                   TimePoint now);
   ~MemberDirectory();
 
-  // `table` gives the fleet's size and who is alive.
+  // `table` provides the fleet's size and the live members.
   void OnTimer(TimePoint now, const MemberTable& table);
   TimePoint NextWakeup() const;
 
-  // Deletes the own row, if there may be one, trying again until it is done.
+  // Deletes this node's row, if it may exist, and retries until the table
+  // confirms.
   void Leave(TimePoint now);
   bool has_left() const;
 
-  // The table has answered another part of this node after a failure: a node
-  // that still waits to try again need not wait any longer.
+  // Another part of this node got a response from the table after a failure: a
+  // node that knows no member yet scans without waiting for its back-off.
   void OnTableAvailable(TimePoint now);
 
-  // The table was restored from an older copy: the own row may be missing, and
-  // versions of rows known from before mean nothing.
+  // The table was restored from an older copy: this node's row may be missing,
+  // and row versions known from before are meaningless.
   void OnTableRestored(TimePoint now, TableEpoch epoch);
 
-  // Addresses to try next, for Membership::Introduce: a few of nodes that
-  // `table` does not know, those with the newest rows first. Empty if none is
-  // due.
+  // Addresses to try next, for Membership::Introduce: a few addresses of nodes
+  // that `table` does not know, nodes with the newest rows first. Empty if no
+  // attempt is due.
   std::vector<Endpoint> TakeFound(const MemberTable& table);
 
-  // Rows of others that the last answered scan found; empty before the first.
+  // Number of rows of other nodes in the last successful scan; empty before the
+  // first.
   std::optional<std::size_t> rows_found() const;
 
  private:
   struct State;
-  // Shared with outstanding callbacks only, which hold it weakly.
+  // Outstanding callbacks hold weak references to it.
   std::shared_ptr<State> m_state;
 };
 
-// The row's key.
+// Key of the node's row.
 std::string MemberRowKey(NodeId id);
 
 }  // namespace bulrushmount
--- a/source/core/membership/member_lifecycle.cc
+++ b/source/core/membership/member_lifecycle.cc
@@ -14,7 +14,7 @@
 using msm::front::none;
 using msm::front::Row;
 
-struct PeerHeard {};
+struct PeerContacted {};
 struct Isolated {};
 struct LeaveRequested {};
 struct DepartureSpread {};
@@ -31,13 +31,13 @@
 
   // NOLINTNEXTLINE(readability-identifier-naming)
   using transition_table =
-      boost::mpl::vector<Row<Joining, PeerHeard, Member, none, none>,
+      boost::mpl::vector<Row<Joining, PeerContacted, Member, none, none>,
                          Row<Joining, LeaveRequested, Leaving, none, none>,
                          Row<Member, Isolated, Joining, none, none>,
                          Row<Member, LeaveRequested, Leaving, none, none>,
                          Row<Leaving, DepartureSpread, Left, none, none>>;
 
-  // An event that means nothing in a state changes nothing.
+  // Events without a transition in the current state are ignored.
   template <typename Fsm, typename Event>
   void no_transition(const Event& /*event*/, Fsm& /*fsm*/, int /*state*/) {}
 };
@@ -68,7 +68,7 @@
 }
 
 void MemberLifecycle::OnPeerContact() {
-  m_machine->process_event(PeerHeard());
+  m_machine->process_event(PeerContacted());
 }
 
 void MemberLifecycle::OnIsolated() {
--- a/source/core/membership/member_lifecycle.h
+++ b/source/core/membership/member_lifecycle.h
@@ -1,4 +1,4 @@
-// The life of this node as a member: joining, member, leaving, left.
+// State machine of this node's own membership: joining, member, leaving, left.
 
 #ifndef BULRUSHMOUNT_CORE_MEMBERSHIP_MEMBER_LIFECYCLE_H_
 #define BULRUSHMOUNT_CORE_MEMBERSHIP_MEMBER_LIFECYCLE_H_
@@ -19,10 +19,11 @@
 
   // Another live member has answered.
   void OnPeerContact();
-  // After a long pause: the node must be heard again before it is a member.
+  // The process was paused: the node must receive a datagram from another
+  // member before it counts as a member again.
   void OnIsolated();
   void OnLeaveRequested();
-  // The departure was told to enough members.
+  // Enough members have been notified of the departure.
   void OnDepartureSpread();
 
  private:
--- a/source/core/membership/member_table.cc
+++ b/source/core/membership/member_table.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-// The finaliser of SplitMix64: spreads the bits of ids and incarnations.
+// The finaliser of SplitMix64. Distributes the bits of ids and incarnations.
 std::uint64_t Mix(std::uint64_t bits) {
   bits += 0x9e3779b97f4a7c15;
   bits = (bits ^ (bits >> 30)) * 0xbf58476d1ce4e5b9;
@@ -17,7 +17,8 @@
   return bits ^ (bits >> 31);
 }
 
-// Suspicions pass too quickly to be worth a comparison: they do not count.
+// Suspicions are not part of the digest: they are resolved within seconds, so a
+// table comparison for them is not worthwhile.
 std::uint32_t DigestOf(const Member& member) {
   return static_cast<std::uint32_t>(
       Mix(member.id.value() ^ Mix(member.incarnation.value())));
@@ -65,8 +66,8 @@
   }
   Entry& entry = found->second;
   RaiseRevision(news.id, news.revision);
-  if (!Precedes(news.incarnation, news.state, entry.member.incarnation,
-                entry.member.state)) {
+  if (!Supersedes(news.incarnation, news.state, entry.member.incarnation,
+                  entry.member.state)) {
     return false;
   }
   Replace(now, entry, news);
@@ -82,12 +83,12 @@
     return false;
   }
   Entry& entry = found->second;
-  if (!Precedes(incarnation, state, entry.member.incarnation,
-                entry.member.state)) {
+  if (!Supersedes(incarnation, state, entry.member.incarnation,
+                  entry.member.state)) {
     return false;
   }
-  // A live state of a new incarnation without its record would keep the record
-  // itself, which may name another target, from being taken as news.
+  // Accepting a live state of a new incarnation without its record would make
+  // the record itself, which may name another target, look old when it arrives.
   if (IsLive(state) && incarnation != entry.member.incarnation) {
     return false;
   }
--- a/source/core/membership/member_table.h
+++ b/source/core/membership/member_table.h
@@ -1,5 +1,5 @@
-// All that a node knows of the other members, with the rule by which news of
-// one replaces older news, and indexes for those who pick among live members.
+// A node's table of all members, with the rule that decides which report about
+// a member is newer, and indexes of live members by service.
 
 #ifndef BULRUSHMOUNT_CORE_MEMBERSHIP_MEMBER_TABLE_H_
 #define BULRUSHMOUNT_CORE_MEMBERSHIP_MEMBER_TABLE_H_
@@ -17,29 +17,31 @@
 
 enum class MemberChangeKind : std::uint8_t {
   kAdded,
-  // The record or the state has changed; see `before`.
+  // The record or the state has changed; `before` holds the earlier state.
   kUpdated,
-  // The tombstone of a dead or departed member was dropped.
+  // The tombstone of a dead or departed member was removed.
   kForgotten,
 };
 
 struct MemberChange {
   MemberChangeKind kind = MemberChangeKind::kAdded;
   Member member;
-  // The state before the change; for kAdded that of the new record.
+  // The state before the change; for kAdded the state of the new record.
   MemberState before = MemberState::kAlive;
 };
 
-// Alive or suspect: still counted on until found dead.
+// Alive or suspect. A suspect member still counts as live until it is declared
+// dead.
 constexpr bool IsLive(MemberState state) {
   return state == MemberState::kAlive || state == MemberState::kSuspect;
 }
 
-// News (incarnation, state) replaces other news of the same member.
-constexpr bool Precedes(Incarnation news_incarnation,
-                        MemberState news_state,
-                        Incarnation known_incarnation,
-                        MemberState known_state) {
+// Whether a report (incarnation, state) replaces the known one of the same
+// member.
+constexpr bool Supersedes(Incarnation news_incarnation,
+                          MemberState news_state,
+                          Incarnation known_incarnation,
+                          MemberState known_state) {
   if (news_incarnation != known_incarnation) {
     return news_incarnation > known_incarnation;
   }
@@ -48,8 +50,8 @@
 
 class MemberTable {
  public:
-  // Members are spread over buckets by id; two tables whose bucket digests are
-  // equal hold the same live members there.
+  // Members are distributed over buckets by id. If the digests of a bucket are
+  // equal in two tables, both hold the same live members in it.
   static constexpr std::size_t kBuckets = 64;
   using Digests = std::array<std::uint32_t, kBuckets>;
   using Pointers = std::vector<const Member*>;
@@ -58,21 +60,23 @@
   MemberTable(const MemberTable&) = delete;
   MemberTable& operator=(const MemberTable&) = delete;
 
-  // Null if unknown. Valid until the member is forgotten.
+  // Null if unknown. Valid until the member is removed from the table.
   const Member* Find(NodeId id) const;
 
-  // Live members, this node among them, in no useful order. Valid until the
+  // Live members including this node, in unspecified order. Valid until the
   // next change of the table.
   const Pointers& Live() const { return m_live; }
 
-  // Live members whose target belongs to `service`, whether it serves or not.
+  // Live members whose target belongs to `service`, whether it accepts requests
+  // or not.
   const Pointers& LiveOf(const ServiceName& service) const;
 
-  // Members found dead whose address is known.
+  // Members declared dead; their records, and so their addresses, are still
+  // kept.
   const Pointers& Dead() const { return m_dead; }
 
   const Digests& digests() const { return m_digests; }
-  // All members of a bucket, tombstones among them.
+  // All members of a bucket, including tombstones.
   const Pointers& InBucket(std::size_t bucket) const {
     return m_buckets[bucket];
   }
@@ -80,37 +84,38 @@
 
   std::size_t size() const { return m_entries.size(); }
 
-  // Takes the whole record if it is news. A tombstone of an unknown member is
-  // no news, or else tombstones would keep each other alive for ever. Returns
-  // whether anything but the revision changed.
+  // Stores the record if it is newer than the known one. A tombstone of an
+  // unknown member is ignored: otherwise nodes would pass tombstones back and
+  // forth for ever. Returns whether anything but the revision changed.
   bool Apply(TimePoint now, const Member& news);
 
-  // The same for news without a record. A suspicion of an incarnation whose
-  // record has not arrived is no news.
+  // The same for a report without a record. A live state of an incarnation
+  // whose record has not arrived is ignored.
   bool ApplyState(TimePoint now,
                   NodeId id,
                   Incarnation incarnation,
                   MemberState state);
 
-  // Revisions of a member only rise.
+  // Has no effect if `revision` is not newer than the known one.
   void RaiseRevision(NodeId id, Revision revision);
 
-  // Drops tombstones older than these ages, but never the record of `keep`.
+  // Removes tombstones of departed and dead members that are older than
+  // `left_age` and `dead_age`, but never the record of `keep`.
   void ForgetTombstones(TimePoint now,
                         Duration left_age,
                         Duration dead_age,
                         NodeId keep);
 
-  // Drops every member but `self`.
+  // Removes every member except `self`.
   void ForgetAllBut(NodeId self);
 
-  // What changed since the last call, in order.
+  // Returns the changes since the last call, in order.
   std::vector<MemberChange> TakeChanges();
 
  private:
   struct Entry {
     Member member;
-    // When the state was last changed here.
+    // When this node last changed the state.
     TimePoint since;
   };
 
@@ -119,8 +124,8 @@
   void Replace(TimePoint now, Entry& entry, const Member& news);
   void Forget(NodeId id);
 
-  // Invariant: m_live, m_by_service, m_dead, m_buckets and m_digests follow
-  // m_entries.
+  // Invariant: m_live, m_by_service, m_dead, m_buckets and m_digests are
+  // consistent with m_entries.
   std::map<NodeId, Entry> m_entries;
   Pointers m_live;
   Pointers m_dead;
--- a/source/core/membership/membership.cc
+++ b/source/core/membership/membership.cc
@@ -1,6 +1,6 @@
-// Part of `membership.h`: construction, timers, pauses and the own record. The
-// protocol's parts are in failure_detection.cc, dissemination.cc and
-// anti_entropy.cc.
+// Part of `membership.h`: construction, timers, pauses and this node's own
+// record. The rest of the protocol is in failure_detection.cc, dissemination.cc
+// and anti_entropy.cc.
 
 #include "core/membership/membership.h"
 
@@ -17,19 +17,21 @@
 constexpr std::size_t kMaxSeeds = 64;
 constexpr Duration kMinSeedBackoff = std::chrono::milliseconds(250);
 
-// A departure is told directly to this many members a round.
+// Each round of departure notices goes directly to this many members.
 constexpr int kDepartureFanout = 6;
 constexpr int kDepartureRounds = 3;
 
-// What a resumed node may not yet conclude from silence.
+// Increase of the local health score after a pause, so that the node does not
+// suspect others too early.
 constexpr int kPausePenalty = 3;
 constexpr int kResumeFanout = 3;
 
-// Datagrams of sync replies: refilled each heartbeat up to the burst.
+// Budget of sync reply datagrams: refilled by the step at each heartbeat, up to
+// the burst.
 constexpr std::size_t kSyncCreditStep = 4;
 constexpr std::size_t kSyncCreditBurst = 8;
 
-Member WithValidIncarnation(Member self) {
+Member WithInitialIncarnation(Member self) {
   self.incarnation = std::max(self.incarnation, Incarnation(1));
   self.state = MemberState::kAlive;
   return self;
@@ -50,14 +52,15 @@
       m_schedule(self.id, self.region, settings.far_heartbeat_interval),
       m_newest_revision(self.revision),
       m_sync_credit(kSyncCreditBurst),
-      m_next_sync(now + settings.hurried_sync_period),
+      m_next_sync(now + settings.fast_sync_period),
       m_next_dead_ping(now + settings.dead_ping_period),
       m_next_seed_try(now),
       m_seed_backoff(kMinSeedBackoff) {
-  // Nodes that start together must not beat together.
+  // The first heartbeat is jittered, so that nodes that start together do not
+  // send heartbeats in step.
   m_next_heartbeat = now + FromSeconds(ToSeconds(settings.heartbeat_period) *
                                        random.Fraction());
-  m_table.Apply(now, WithValidIncarnation(std::move(self)));
+  m_table.Apply(now, WithInitialIncarnation(std::move(self)));
   m_news.Push(m_self_id);
 }
 
@@ -87,8 +90,9 @@
     next = std::min(next, m_next_seed_try);
   }
   for (const auto& [sequence, probe] : m_probes) {
-    next = std::min(
-        next, probe.has_asked_others ? probe.give_up_at : probe.ask_others_at);
+    next =
+        std::min(next, probe.has_sent_ping_requests ? probe.give_up_at
+                                                    : probe.ping_requests_at);
   }
   for (const auto& [sequence, relay] : m_relays) {
     next = std::min(next, relay.give_up_at);
@@ -119,14 +123,15 @@
     return;
   }
   const Incarnation own_before = self().incarnation;
-  TakeNews(now, *in);
+  ProcessNews(now, *in);
   if (m_lifecycle.phase() == MemberPhase::kJoining) {
     m_lifecycle.OnPeerContact();
   }
   const bool is_ping = in->type() == gossip::Gossip::PING;
-  // An ack brings the own record anyway; who suspects otherwise gets it here.
-  const bool was_accused = self().incarnation != own_before && !is_ping;
-  if (in->wants_record() || was_accused) {
+  // An ack carries this node's record anyway; a sender that suspected this node
+  // by any other message gets the record here.
+  const bool was_suspected = self().incarnation != own_before && !is_ping;
+  if (in->wants_record() || was_suspected) {
     SendOwnRecord(now, from, sender);
   }
   switch (in->type()) {
@@ -149,7 +154,7 @@
       OnSyncReply(now, *in);
       break;
     default:
-      // Of a later release, or only news.
+      // A message that carries news only, or a type of a later release.
       break;
   }
 }
@@ -170,7 +175,8 @@
     m_seeds.push_back(endpoint);
     has_new = true;
     if (HasPeers()) {
-      // Perhaps another part of the fleet that lost touch with this one.
+      // The address may belong to a part of the fleet that is partitioned from
+      // this one.
       SendDigest(now, endpoint, NodeId(), false);
     }
   }
@@ -184,7 +190,7 @@
                             const std::optional<TargetSummary>& target,
                             Revision revision) {
   m_table.RaiseRevision(m_self_id, revision);
-  NoteRevision(now, revision);
+  AdvanceNewestRevision(now, revision);
   if (target == self().target || IsLeaving()) {
     return;
   }
@@ -193,7 +199,7 @@
   changed.incarnation = Incarnation(changed.incarnation.value() + 1);
   m_table.Apply(now, changed);
   m_news.Push(m_self_id);
-  Hurry(now);
+  ExpediteHeartbeat(now);
 }
 
 void Membership::Leave(TimePoint now) {
@@ -229,27 +235,29 @@
   const bool is_new = m_broadcasts.Add(now, item, hash);
   if (is_new) {
     m_news.Push(hash);
-    Hurry(now);
+    ExpediteHeartbeat(now);
   }
   return is_new || m_broadcasts.Find(hash) != nullptr;
 }
 
 std::vector<BroadcastItem> Membership::TakeBroadcasts() {
-  return std::exchange(m_heard_broadcasts, {});
+  return std::exchange(m_received_broadcasts, {});
 }
 
 void Membership::NoticePause(TimePoint now, bool is_timer) {
   const Duration late = now - NextWakeup();
   if (late >= m_settings.pause_threshold) {
-    // Symptom without this: a process that stood still (stopped, swapped out,
-    // its host frozen) wakes with every heartbeat overdue and accuses all whom
-    // it asked before, although it was itself that did not listen.
+    // A process that was paused (stopped, swapped out, host frozen) resumes
+    // with every probe overdue. Without this check it would suspect all members
+    // that it had pinged, although it was itself that did not receive their
+    // acks.
     LogLine(LogLevel::kWarning, "membership.paused")
         .Add("seconds", ToSeconds(late));
     ++m_counters.pauses;
-    if (late >= m_settings.left_memory) {
-      // Others have forgotten who left meanwhile; telling them would raise the
-      // departed. Start afresh from the addresses.
+    if (late >= m_settings.left_tombstone_age) {
+      // Other nodes have removed the tombstones of members that left in the
+      // meantime, so passing on this node's table would bring departed members
+      // back to life. Start with an empty table and the known addresses.
       std::vector<Endpoint> addresses;
       for (const Member* member : m_table.Live()) {
         addresses.push_back(member->gossip_endpoint);
@@ -277,7 +285,7 @@
   }
   m_health.Worsen(kPausePenalty);
   m_next_heartbeat = now + m_settings.direct_timeout;
-  m_next_sync = now + m_settings.hurried_sync_period;
+  m_next_sync = now + m_settings.fast_sync_period;
   m_next_dead_ping = now + m_settings.dead_ping_period;
   m_next_seed_try = now;
   m_broadcasts.Expire(now);
@@ -285,7 +293,7 @@
     return;
   }
   m_lifecycle.OnIsolated();
-  // Others may have found this node dead by now.
+  // Other nodes may have declared this node dead in the meantime.
   RaiseOwnIncarnation(now, self().incarnation);
   for (int i = 0; i < kResumeFanout; ++i) {
     const Member* peer = RandomPeer();
@@ -302,10 +310,10 @@
   renewed.state = MemberState::kAlive;
   m_table.Apply(now, renewed);
   m_news.Push(m_self_id);
-  Hurry(now);
+  ExpediteHeartbeat(now);
 }
 
-void Membership::NoteState(TimePoint now, NodeId id, bool was_live) {
+void Membership::OnStateChanged(TimePoint now, NodeId id, bool was_live) {
   const Member& member = *m_table.Find(id);
   if (member.state != MemberState::kSuspect) {
     m_suspicions.erase(id);
@@ -322,9 +330,9 @@
   }
 }
 
-void Membership::ForgetOld(TimePoint now) {
-  m_table.ForgetTombstones(now, m_settings.left_memory, m_settings.dead_memory,
-                           m_self_id);
+void Membership::ExpireOldEntries(TimePoint now) {
+  m_table.ForgetTombstones(now, m_settings.left_tombstone_age,
+                           m_settings.dead_tombstone_age, m_self_id);
   m_broadcasts.Expire(now);
   m_sync_credit = std::min(m_sync_credit + kSyncCreditStep, kSyncCreditBurst);
 }
--- a/source/core/membership/membership.h
+++ b/source/core/membership/membership.h
@@ -1,6 +1,6 @@
 // SWIM-style membership over datagrams: heartbeats, suspicion with refutation,
-// piggybacked news and periodic comparison of tables. Pure decisions: the time,
-// the random source and the port for datagrams are arguments.
+// piggybacked news and periodic table comparison (anti-entropy). Does no I/O of
+// its own: the time, the random source and the datagram port are passed in.
 
 #ifndef BULRUSHMOUNT_CORE_MEMBERSHIP_MEMBERSHIP_H_
 #define BULRUSHMOUNT_CORE_MEMBERSHIP_MEMBERSHIP_H_
@@ -37,45 +37,48 @@
 
 class Membership {
  public:
-  // `self.incarnation` of 0 counts as 1. `random` and `port` must outlive this.
+  // A `self.incarnation` of 0 is replaced by 1. `random` and `port` must
+  // outlive this object.
   Membership(const MembershipSettings& settings,
              Member self,
              RandomSource& random,
              DatagramPort& port,
              TimePoint now);
 
-  // To be called at NextWakeup() or soon after. Calls that come earlier do no
-  // harm; one that comes very late is taken for a pause of the process.
+  // Must be called at NextWakeup() or shortly after. Earlier calls are
+  // harmless; a call that is later than the pause threshold is treated as a
+  // pause of the process.
   void OnTimer(TimePoint now);
   TimePoint NextWakeup() const;
 
-  // `payload` without the kind's byte.
+  // `payload` does not include the byte of the datagram's kind.
   void OnDatagram(TimePoint now,
                   const Endpoint& from,
                   std::string_view payload);
 
-  // Addresses at which other members may be; a few of them are tried until
-  // one answers. Own and repeated addresses are ignored.
+  // Adds addresses where other members may be reachable. While no member is
+  // known, a few of them are tried at a time until one responds. This node's
+  // own address and known ones are ignored.
   void Introduce(TimePoint now, const std::vector<Endpoint>& gossip_endpoints);
 
-  // What this node says of itself; raises the incarnation if the target
-  // changed. The revision only rises.
+  // Updates this node's own record. Increments the incarnation if the target
+  // changed; ignores a revision that is not newer.
   void UpdateSelf(TimePoint now,
                   const std::optional<TargetSummary>& target,
                   Revision revision);
 
-  // Tells several members at once. Heartbeats go on, so that the node hears of
-  // others while it drains.
+  // Marks this node as departed and notifies several members at once.
+  // Heartbeats continue, so the node still receives news while it drains.
   void Leave(TimePoint now);
 
-  // Asks up to `max_queries` live members that are not known to have
-  // `revision` in force, and returns how many such there are (0: all have it).
-  // Meant to be repeated, some 100 ms apart, while an operator waits.
+  // Pings up to `max_queries` live members that are not known to have
+  // `revision` in force, and returns the number of all such members (0: all
+  // have it). Meant to be repeated about every 100 ms while an operator waits.
   std::size_t QueryRevision(TimePoint now,
                             Revision revision,
                             std::size_t max_queries);
 
-  // The newest revision that any member was heard to have.
+  // The newest revision that any member has reported.
   Revision newest_revision() const { return m_newest_revision; }
 
   const MemberTable& table() const { return m_table; }
@@ -83,29 +86,30 @@
   MemberPhase phase() const { return m_lifecycle.phase(); }
   const MembershipCounters& counters() const { return m_counters; }
 
-  // Changes since the last call, of this node's own record too.
+  // Returns the changes since the last call, including those of this node's own
+  // record.
   std::vector<MemberChange> TakeChanges() { return m_table.TakeChanges(); }
 
-  // Spreads an item to every member, each of which takes it once. False if it
-  // is too large.
+  // Sends an item to every member by gossip; each member receives it once.
+  // False if the item is too large.
   bool Broadcast(TimePoint now, const BroadcastItem& item);
-  // Items of other nodes since the last call.
+  // Returns the items received from other nodes since the last call.
   std::vector<BroadcastItem> TakeBroadcasts();
 
  private:
-  // A heartbeat that waits for its answer.
+  // A heartbeat that waits for its ack.
   struct Probe {
     NodeId target;
-    TimePoint ask_others_at;
+    TimePoint ping_requests_at;
     TimePoint give_up_at;
-    bool has_asked_others = false;
-    // Of the direct heartbeat, once others were asked.
+    bool has_sent_ping_requests = false;
+    // When the direct ping is repeated, once ping requests were sent.
     TimePoint next_retry;
     std::size_t helpers = 0;
     std::size_t nacks = 0;
   };
 
-  // A heartbeat sent for another member.
+  // A ping sent on behalf of another member.
   struct Relay {
     Endpoint origin;
     NodeId origin_id;
@@ -116,9 +120,10 @@
 
   struct Suspicion {
     Incarnation incarnation;
-    // The initiator's verdict; a bystander becomes an initiator then.
+    // When an initiator declares the member dead, and when a node that is no
+    // initiator becomes one.
     TimePoint due;
-    // This node itself goes on trying the member until the verdict.
+    // This node pings the member itself until `due`.
     bool is_initiator = false;
     TimePoint next_ping;
   };
@@ -127,9 +132,9 @@
   void NoticePause(TimePoint now, bool is_timer);
   void Resume(TimePoint now);
   void RaiseOwnIncarnation(TimePoint now, Incarnation above);
-  // Brings suspicions and the schedule in line with the member's new state.
-  void NoteState(TimePoint now, NodeId id, bool was_live);
-  void ForgetOld(TimePoint now);
+  // Updates suspicions and the heartbeat schedule after a state change.
+  void OnStateChanged(TimePoint now, NodeId id, bool was_live);
+  void ExpireOldEntries(TimePoint now);
   bool IsSelf(NodeId id) const { return id == m_self_id; }
   bool HasPeers() const;
   bool IsLeaving() const;
@@ -141,7 +146,7 @@
   void Ping(TimePoint now, const Member& target, std::uint32_t sequence);
   void CheckProbes(TimePoint now);
   void RetryProbe(TimePoint now, std::uint32_t sequence, Probe& probe);
-  void AskOthers(std::uint32_t sequence, Probe& probe);
+  void SendPingRequests(std::uint32_t sequence, Probe& probe);
   MemberTable::Pointers PickHelpers(const Member& target);
   void StartSuspicion(TimePoint now, const Probe& probe);
   void CheckRelays(TimePoint now);
@@ -162,17 +167,17 @@
                     NodeId to_id,
                     detail::GossipWriter& writer);
   void Send(const Endpoint& to, detail::GossipWriter& writer);
-  void TakeNews(TimePoint now, const gossip::Gossip& in);
-  void TakeRecord(TimePoint now, const Member& news, bool is_sync);
-  void TakeStateChange(TimePoint now,
-                       const detail::StateChange& news,
-                       bool is_sync);
-  void TakeBroadcast(TimePoint now, const BroadcastItem& item, bool is_sync);
+  void ProcessNews(TimePoint now, const gossip::Gossip& in);
+  void ProcessRecord(TimePoint now, const Member& news, bool is_sync);
+  void ProcessStateChange(TimePoint now,
+                          const detail::StateChange& news,
+                          bool is_sync);
+  void ProcessBroadcast(TimePoint now, const BroadcastItem& item, bool is_sync);
   void SendOwnRecord(TimePoint now, const Endpoint& to, NodeId to_id);
-  // Brings the next heartbeat forward, so that news travels sooner.
-  void Hurry(TimePoint now);
-  // Sends the newest revision on, if it is newer than what was known.
-  void NoteRevision(TimePoint now, Revision revision);
+  // Brings the next heartbeat forward, so that queued news is sent sooner.
+  void ExpediteHeartbeat(TimePoint now);
+  // Passes on `revision` if it is newer than the newest known one.
+  void AdvanceNewestRevision(TimePoint now, Revision revision);
   bool IsStale(const gossip::Gossip& in) const;
 
   // anti_entropy.cc
@@ -198,7 +203,7 @@
   HeartbeatSchedule m_schedule;
   NewsQueue m_news;
   BroadcastStore m_broadcasts;
-  std::vector<BroadcastItem> m_heard_broadcasts;
+  std::vector<BroadcastItem> m_received_broadcasts;
   Revision m_newest_revision;
   MembershipCounters m_counters;
 
@@ -207,11 +212,13 @@
   std::map<std::uint32_t, Relay> m_relays;
   std::map<NodeId, Suspicion> m_suspicions;
   std::vector<Endpoint> m_seeds;
-  // Few members are known yet: others may send more at once.
+  // The table is not yet in sync with another member's; digests then ask for
+  // larger replies.
   bool m_is_catching_up = true;
-  // Datagrams of sync replies that may still be sent in this sync period.
+  // Number of sync reply datagrams that may still be sent; refilled at each
+  // heartbeat.
   std::size_t m_sync_credit = 0;
-  // Departure notices still to be sent, one round a heartbeat.
+  // Remaining rounds of departure notices, one per heartbeat.
   int m_departure_rounds = 0;
 
   TimePoint m_next_heartbeat;
--- a/source/core/membership/membership_settings.h
+++ b/source/core/membership/membership_settings.h
@@ -1,4 +1,4 @@
-// The settings of the gossip, and the counters that show what it costs.
+// Settings of the gossip protocol, and counters of its traffic.
 
 #ifndef BULRUSHMOUNT_CORE_MEMBERSHIP_MEMBERSHIP_SETTINGS_H_
 #define BULRUSHMOUNT_CORE_MEMBERSHIP_MEMBERSHIP_SETTINGS_H_
@@ -12,49 +12,55 @@
 namespace bulrushmount {
 
 struct MembershipSettings {
-  // One direct heartbeat a period.
+  // One direct heartbeat is sent per period.
   Duration heartbeat_period = std::chrono::milliseconds(500);
-  // Without an answer for this long, others are asked to try.
+  // After this time without an ack, helpers are asked to ping the member.
   Duration direct_timeout = std::chrono::milliseconds(200);
-  // Without an answer for this long more, the member is suspect. Meanwhile the
-  // direct heartbeat is repeated too, so that mere loss seldom leads there.
+  // After this further time without an ack the member becomes suspect.
+  // Meanwhile the direct ping is repeated too, so that packet loss alone seldom
+  // causes a suspicion.
   Duration indirect_timeout = std::chrono::milliseconds(800);
   std::size_t indirect_helpers = 3;
   Duration direct_retry_interval = std::chrono::milliseconds(100);
-  // From suspicion to death at the initiator, unless refuted.
+  // Time from suspicion to death at the initiator, unless refuted.
   Duration suspicion_time = std::chrono::seconds(2);
-  // Who only heard of the suspicion leaves this many times as long to the
-  // initiator; then it tries the member itself, and so becomes an initiator.
+  // A node that only received the suspicion from others waits this many times
+  // the suspicion time for the initiator; then it pings the member itself and
+  // becomes an initiator.
   int bystander_factor = 2;
   // Every nth heartbeat goes to another region.
   std::size_t far_heartbeat_interval = 5;
-  // News that is not mere suspicion brings the next heartbeat forward to this,
-  // while the budget is ample.
-  Duration hurried_heartbeat = std::chrono::milliseconds(100);
-  // Bytes with headers, beyond which news and comparisons wait.
+  // News other than a suspicion brings the next heartbeat forward to this
+  // delay, while the byte budget has a reserve.
+  Duration expedited_heartbeat_delay = std::chrono::milliseconds(100);
+  // Budget of bytes including headers; beyond it news and table comparisons
+  // wait.
   double bytes_per_second = 5000;
   double bytes_burst = 40000;
-  // How often a random member's table is compared with the own one.
+  // Interval of table comparisons with a random member.
   Duration sync_period = std::chrono::seconds(5);
-  // The same while the last comparison left differences.
-  Duration hurried_sync_period = std::chrono::milliseconds(500);
-  // How often one dead member is tried, so that a healed partition merges.
+  // The same while the last comparison found differences.
+  Duration fast_sync_period = std::chrono::milliseconds(500);
+  // Interval at which one dead member is pinged, so that the parts of a healed
+  // partition merge.
   Duration dead_ping_period = std::chrono::seconds(2);
   // How long tombstones are kept.
-  Duration left_memory = std::chrono::minutes(10);
-  Duration dead_memory = std::chrono::hours(1);
-  // A timer this late means that the process stood still: what it believes of
-  // others is old, and no silence in that time was theirs.
+  Duration left_tombstone_age = std::chrono::minutes(10);
+  Duration dead_tombstone_age = std::chrono::hours(1);
+  // A timer that is late by this much means that the process was paused: its
+  // knowledge of others is outdated, and missing acks in that time say nothing
+  // about them.
   Duration pause_threshold = std::chrono::seconds(1);
 };
 
 struct MembershipCounters {
   std::uint64_t datagrams_sent = 0;
-  // Without the datagram's kind and the IP and UDP headers.
+  // Without the byte of the datagram's kind and the IP and UDP headers.
   std::uint64_t bytes_sent = 0;
   std::uint64_t datagrams_received = 0;
   std::uint64_t bytes_received = 0;
-  // Dropped: not parseable, or fields out of range.
+  // Datagrams dropped because they could not be parsed or had fields out of
+  // range.
   std::uint64_t malformed = 0;
   std::uint64_t suspicions = 0;
   std::uint64_t deaths_declared = 0;
--- a/source/core/membership/news_queue.cc
+++ b/source/core/membership/news_queue.cc
@@ -11,15 +11,15 @@
 
 namespace {
 
-// Enough for the news to reach everybody although some datagrams are lost; the
-// comparison of tables mends the rest.
+// Enough for news to reach every member although some datagrams are lost; table
+// comparison repairs the rest.
 constexpr std::size_t kTransmissionFactor = 2;
 
-// Short news may still fit where long news did not.
-constexpr int kMaxMisses = 4;
+// A short item may still fit where a long one did not.
+constexpr int kMaxUnfitItems = 4;
 
-// With more news than this at once each is passed on less often.
-constexpr std::size_t kCrowded = 48;
+// With more queued items than this, each is transmitted less often.
+constexpr std::size_t kCrowdedQueueSize = 48;
 constexpr std::size_t kCrowdedDivisor = 4;
 
 }  // namespace
@@ -46,21 +46,22 @@
 }
 
 void NewsQueue::Offer(std::size_t limit,
-                      const std::function<Verdict(const Subject&)>& write) {
-  if (m_order.size() > kCrowded) {
-    // Else the newest crowds out all the rest before it has reached anybody.
+                      const std::function<WriteResult(const Subject&)>& write) {
+  if (m_order.size() > kCrowdedQueueSize) {
+    // Otherwise the newest news would displace all other items before they have
+    // been sent once.
     limit = std::max<std::size_t>(limit / kCrowdedDivisor, 1);
   }
   std::vector<Item> sent;
   std::vector<Item> obsolete;
-  int misses = 0;
+  int unfit_items = 0;
   for (const Item& item : m_order) {
-    const Verdict verdict = write(item.subject);
-    if (verdict == Verdict::kSent) {
+    const WriteResult result = write(item.subject);
+    if (result == WriteResult::kSent) {
       sent.push_back(item);
-    } else if (verdict == Verdict::kObsolete) {
+    } else if (result == WriteResult::kObsolete) {
       obsolete.push_back(item);
-    } else if (++misses == kMaxMisses) {
+    } else if (++unfit_items == kMaxUnfitItems) {
       break;
     }
   }
--- a/source/core/membership/news_queue.h
+++ b/source/core/membership/news_queue.h
@@ -1,5 +1,6 @@
-// What is to be piggybacked on the next datagrams: least sent first, and each
-// only so many times, which grows with the logarithm of the fleet.
+// Queue of the news to piggyback on the next datagrams. The least transmitted
+// news goes first, and each item is sent a limited number of times, which grows
+// with the logarithm of the fleet.
 
 #ifndef BULRUSHMOUNT_CORE_MEMBERSHIP_NEWS_QUEUE_H_
 #define BULRUSHMOUNT_CORE_MEMBERSHIP_NEWS_QUEUE_H_
@@ -18,21 +19,21 @@
 
 class NewsQueue {
  public:
-  // The present state of a member, or a broadcast item.
+  // A member, whose current state is sent, or a broadcast item.
   using Subject = std::variant<NodeId, BroadcastHash>;
-  enum class Verdict : std::uint8_t { kSent, kNoRoom, kObsolete };
+  enum class WriteResult : std::uint8_t { kSent, kNoRoom, kObsolete };
 
-  // Beyond this many, what was sent most often gives way: after a change of
-  // the whole fleet the comparison of tables is cheaper than news.
+  // Beyond this size the most transmitted news is dropped: after a change of
+  // the whole fleet table comparison is cheaper than piggybacked news.
   static constexpr std::size_t kMaxItems = 128;
 
-  // News of the same subject starts over.
+  // Replaces queued news of the same subject and resets its transmission count.
   void Push(const Subject& subject);
 
-  // Hands subjects to `write` in order, until it finds no room for several.
-  // Those sent `limit` times leave the queue.
+  // Calls `write` for the queued subjects in order, until several of them did
+  // not fit. Subjects that have been sent `limit` times leave the queue.
   void Offer(std::size_t limit,
-             const std::function<Verdict(const Subject&)>& write);
+             const std::function<WriteResult(const Subject&)>& write);
 
   bool empty() const { return m_order.empty(); }
   std::size_t size() const { return m_order.size(); }
@@ -40,7 +41,7 @@
  private:
   struct Item {
     std::size_t transmissions = 0;
-    // Among those sent equally often the newest goes first.
+    // Among items sent equally often the newest goes first.
     std::uint64_t age_rank = 0;
     Subject subject;
 
@@ -49,13 +50,13 @@
     friend auto operator<=>(const Item&, const Item&) = default;
   };
 
-  // Invariant: both hold the same items.
+  // Invariant: m_order and m_by_subject hold the same items.
   std::set<Item> m_order;
   std::map<Subject, Item> m_by_subject;
   std::uint64_t m_next_rank = ~std::uint64_t{0};
 };
 
-// How often each member passes a piece of news on in a fleet of `members`.
+// How often each member transmits a piece of news in a fleet of `members`.
 std::size_t TransmissionLimit(std::size_t members);
 
 }  // namespace bulrushmount
--- a/source/unit_tests/core/membership/gossip_codec_test.cc
+++ b/source/unit_tests/core/membership/gossip_codec_test.cc
@@ -1,5 +1,5 @@
-// Tests of `gossip_codec.h`: what travels comes back, fits a datagram, and
-// malformed messages are dropped.
+// Tests of `gossip_codec.h`: encoded records are decoded unchanged and fit in a
+// datagram, and malformed messages are dropped.
 
 #include "core/membership/gossip_codec.h"
 
@@ -37,7 +37,7 @@
   return head;
 }
 
-TEST(GossipCodecTest, RecordsComeBackAndShareTheirNames) {
+TEST(GossipCodecTest, RecordsRoundTripAndShareTheirNames) {
   GossipWriter writer(MakeHead());
   Member other_address = MakeMember(2);
   other_address.gossip_endpoint.ip = "::1";
@@ -112,7 +112,7 @@
                   }}),
     [](const auto& info) { return info.param.name; });
 
-TEST(GossipCodecTest, DropsBytesThatAreNoMessage) {
+TEST(GossipCodecTest, DropsBytesThatDoNotParse) {
   EXPECT_FALSE(ParseGossip(""));
   EXPECT_FALSE(ParseGossip("\x0a"));
   EXPECT_FALSE(ParseGossip(std::string(1199, '\xff')));
--- a/source/unit_tests/core/membership/member_directory_test.cc
+++ b/source/unit_tests/core/membership/member_directory_test.cc
@@ -32,7 +32,7 @@
 
 class MemberDirectoryTest : public testing::Test {
  protected:
-  // A node with its directory and its view of the fleet.
+  // A node's directory and its member table.
   struct Node {
     Node(std::uint64_t id,
          RandomSource& random,
@@ -56,7 +56,7 @@
     }
   }
 
-  // Rows of nodes that are not there, written in the order of their ids.
+  // Writes rows of nodes that do not exist, in the order of their ids.
   void WriteRows(std::uint64_t first, std::uint64_t last) {
     for (std::uint64_t id = first; id <= last; ++id) {
       TableTransact row;
@@ -87,9 +87,9 @@
   EXPECT_TRUE(second.directory.TakeFound(second.table).empty());
 }
 
-// Symptom: a node that started while the table was down stays alone for ever,
-// or the table is stormed when it comes back. Sequence: down at start, up
-// later. Cause: no repetition, or one without back-off.
+// Guards against a node that started while the table was down and stays
+// isolated because it does not retry, and against a load spike when the table
+// comes back because nodes retry without back-off.
 TEST_F(MemberDirectoryTest, KeepsTryingWithBackOffWhileTheTableIsDown) {
   m_service.SetFault(TableFault::kDown);
   Node node(1, m_random, m_service, m_now);
@@ -112,9 +112,9 @@
   EXPECT_FALSE(HasRow(1));
 }
 
-// Symptom: rows of dead nodes pile up, and newcomers try them in vain.
-// Sequence: a node writes its row and crashes. Cause: nobody deletes it.
-TEST_F(MemberDirectoryTest, PrunesTheDeadAndKeepsTheLiving) {
+// Guards against rows of crashed nodes that nobody deletes: they accumulate,
+// and new nodes try their addresses in vain.
+TEST_F(MemberDirectoryTest, PrunesRowsOfDeadNodesAndKeepsThoseOfLiveOnes) {
   {
     Node dead(2, m_random, m_service, m_now);
     Run(dead, seconds(1));
@@ -143,10 +143,10 @@
   EXPECT_LT(writes / node_seconds, 3);
 }
 
-// Symptom: a start of hundreds of nodes asks the table three times for each of
-// them. Sequence: each writes a row, though a newcomer tries a few of them
-// only. Cause: nobody looked whether there are rows enough.
-TEST_F(MemberDirectoryTest, WritesNoRowWhereThereAreEnough) {
+// Guards against every node writing a row when hundreds start at once: that
+// takes three table requests per node, although a new node tries only a few of
+// the rows.
+TEST_F(MemberDirectoryTest, WritesNoRowIfThereAreEnough) {
   WriteRows(101, 100 + MemberDirectorySettings{}.wanted_rows);
   Node node(1, m_random, m_service, m_now);
   Run(node, milliseconds(500));
@@ -159,10 +159,10 @@
   EXPECT_EQ(m_service.reads() + m_service.writes(), 1U);
 }
 
-// Symptom: a newcomer stays alone, or asks the table over and over. Sequence:
-// most rows are of nodes that are gone; the first addresses do not answer.
-// Cause: the others that were read with them were not tried.
-TEST_F(MemberDirectoryTest, TriesAllThatItFoundBeforeItAsksAgain) {
+// Guards against a new node that stays isolated or scans the table repeatedly
+// because it tries only the first addresses of a scan, when most rows belong to
+// nodes that are gone.
+TEST_F(MemberDirectoryTest, TriesAllFoundAddressesBeforeItScansAgain) {
   WriteRows(101, 100 + MemberDirectorySettings{}.wanted_rows);
   Node node(1, m_random, m_service, m_now);
   std::vector<Endpoint> tried;
@@ -179,13 +179,13 @@
             });
   tried.erase(std::unique(tried.begin(), tried.end()), tried.end());
   EXPECT_EQ(tried.size(), MemberDirectorySettings{}.wanted_rows);
-  // Then it keeps a row, so that others find it.
+  // Afterwards it writes a row, so that others can find it.
   EXPECT_TRUE(HasRow(1));
 }
 
-// Symptom: after a restart at new addresses newcomers try the dead first.
-// Sequence: the table holds many rows of nodes that are gone. Cause: rows were
-// tried in the order of their keys.
+// Guards against trying rows in key order: after a restart at new addresses the
+// table holds many rows of nodes that are gone, and new nodes would try those
+// first.
 TEST_F(MemberDirectoryTest, TriesTheNewestRowsFirst) {
   WriteRows(101, 300);
   Node node(1, m_random, m_service, m_now);
@@ -194,10 +194,9 @@
     EXPECT_GT(endpoint.port, AddressOf(236).port);
 }
 
-// Symptom: a node that started while the table was away knows nobody for ten
-// seconds and more after it is back. Cause: it waited out its back-off although
-// another part of it had been answered.
-TEST_F(MemberDirectoryTest, LooksAtOnceWhenTheTableIsKnownToBeWell) {
+// Guards against a node that waits out its back-off of ten seconds and more
+// although another part of it has already got a response from the table.
+TEST_F(MemberDirectoryTest, ScansAtOnceWhenTheTableIsAvailableAgain) {
   m_service.SetFault(TableFault::kDown);
   Node node(1, m_random, m_service, m_now);
   Run(node, minutes(1));
@@ -208,7 +207,7 @@
   EXPECT_TRUE(node.directory.rows_found());
 }
 
-TEST_F(MemberDirectoryTest, IgnoresRowsThatItCannotRead) {
+TEST_F(MemberDirectoryTest, IgnoresUnreadableRows) {
   TableTransact transact;
   transact.puts = {{"member/zz", "127.0.0.1:1 1"},
                    {MemberRowKey(NodeId(5)), "nonsense"},
--- a/source/unit_tests/core/membership/member_network.cc
+++ b/source/unit_tests/core/membership/member_network.cc
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr std::size_t kSocketBuffer = 200;
-constexpr int kNearFraction = 40;
-constexpr Duration kLookInterval = std::chrono::milliseconds(50);
+constexpr int kLocalLatencyDivisor = 40;
+constexpr Duration kPollInterval = std::chrono::milliseconds(50);
 
 }  // namespace
 
@@ -75,7 +75,7 @@
     if (now() >= end) {
       return false;
     }
-    Run(kLookInterval);
+    Run(kPollInterval);
   }
   return true;
 }
@@ -112,8 +112,9 @@
   }
   const bool is_near =
       membership->self().region == network->at(receiver).self().region;
-  const Duration latency =
-      is_near ? network->m_far_latency / kNearFraction : network->m_far_latency;
+  const Duration latency = is_near
+                               ? network->m_far_latency / kLocalLatencyDivisor
+                               : network->m_far_latency;
   network->m_time.After(latency, [network = network, from = number, receiver,
                                   payload = std::move(payload)] {
     network->Deliver(from, receiver, payload);
@@ -139,7 +140,7 @@
   }
 }
 
-// A timer that was set anew meanwhile does nothing.
+// Ignores a timer that has been rescheduled in the meantime.
 void MemberNetwork::FireTimer(std::size_t number, TimePoint wakeup) {
   Node& node = *m_nodes[number];
   if (!node.is_up || node.is_frozen || wakeup != node.wakeup) {
--- a/source/unit_tests/core/membership/member_network.h
+++ b/source/unit_tests/core/membership/member_network.h
@@ -1,5 +1,5 @@
-// Several memberships joined by a queue of datagrams, in virtual time. For the
-// tests of membership and its benchmark.
+// Several memberships connected by a simulated network, in virtual time. Used
+// by the tests of membership and its benchmark.
 
 #ifndef BULRUSHMOUNT_UNIT_TESTS_CORE_MEMBERSHIP_MEMBER_NETWORK_H_
 #define BULRUSHMOUNT_UNIT_TESTS_CORE_MEMBERSHIP_MEMBER_NETWORK_H_
@@ -22,28 +22,29 @@
  public:
   explicit MemberNetwork(std::uint64_t seed, MembershipSettings settings = {});
 
-  // Starts a node whose seeds are the nodes given; returns its number.
+  // Starts a node that is introduced to the nodes `seeds`; returns its number.
   std::size_t Add(const std::string& region,
                   const std::string& zone,
                   const std::vector<std::size_t>& seeds);
 
   void Run(Duration duration);
-  // Whether `is_done` came true, looked at each 50 ms.
+  // Runs until `is_done` returns true, checked every 50 ms; false after
+  // `limit`.
   bool RunUntil(const std::function<bool()>& is_done, Duration limit);
 
-  // Ends without a word.
+  // Stops the node without a departure notice.
   void Kill(std::size_t node) { m_nodes[node]->is_up = false; }
   void Freeze(std::size_t node) { m_nodes[node]->is_frozen = true; }
-  // Delivers what waited in the socket, then the overdue timer.
+  // Delivers the datagrams buffered while frozen, then fires the overdue timer.
   void Resume(std::size_t node);
-  // Datagrams pass only between nodes of the same side.
+  // Datagrams are delivered only between nodes of the same side.
   void SetSide(std::size_t node, int side) { m_nodes[node]->side = side; }
   void BreakPath(std::size_t one, std::size_t other);
-  // Ends the process and starts another at its address.
+  // Stops the process and starts another with a different id at its address.
   void Replace(std::size_t node, NodeId id);
-  // Chance that a datagram is lost.
+  // Probability that a datagram is lost.
   void SetLoss(double loss) { m_loss = loss; }
-  // Between regions; within one it is a fortieth.
+  // Latency between regions; within a region it is a fortieth of it.
   void SetFarLatency(Duration latency) { m_far_latency = latency; }
 
   Membership& at(std::size_t node) { return *m_nodes[node]->membership; }
@@ -53,9 +54,10 @@
   bool IsFrozen(std::size_t node) const { return m_nodes[node]->is_frozen; }
   int side(std::size_t node) const { return m_nodes[node]->side; }
   TimePoint now() const { return m_time.now(); }
-  // What `observer` believes of `subject`; kDead if it does not know it.
+  // The state of `subject` in the table of `observer`; kDead if unknown.
   MemberState StateAt(std::size_t observer, std::size_t subject);
-  // To be called after acting on a node directly: its timers may have moved.
+  // Must be called after a direct call to a node, as its timers may have
+  // changed.
   void Reschedule(std::size_t node);
 
  private:
@@ -91,7 +93,7 @@
   std::vector<std::unique_ptr<Node>> m_nodes;
 };
 
-// Where node `number` of a network listens.
+// Address of node `number` of a network.
 Endpoint NetworkEndpoint(std::size_t number);
 
 }  // namespace bulrushmount
--- a/source/unit_tests/core/membership/member_table_test.cc
+++ b/source/unit_tests/core/membership/member_table_test.cc
@@ -1,5 +1,6 @@
-// Tests of `member_table.h`: which news replaces which, the indexes, and a
-// comparison with a table that simply keeps the greatest news of each member.
+// Tests of `member_table.h`: which report replaces which, the indexes, and a
+// comparison with a naive reference model that keeps the greatest report of
+// each member.
 
 #include "core/membership/member_table.h"
 
@@ -41,8 +42,8 @@
 
 TEST_P(PrecedenceTest, NewsReplacesOlderNewsOnly) {
   const PrecedenceCase& param = GetParam();
-  EXPECT_EQ(Precedes(Incarnation(param.news_incarnation), param.news_state,
-                     Incarnation(param.known_incarnation), param.known_state),
+  EXPECT_EQ(Supersedes(Incarnation(param.news_incarnation), param.news_state,
+                       Incarnation(param.known_incarnation), param.known_state),
             param.is_news);
 }
 
@@ -62,18 +63,18 @@
                     PrecedenceCase{2, kSuspect, 1, kDead, true},
                     PrecedenceCase{1, kDead, 1, kDead, false}));
 
-TEST(MemberTableTest, TombstoneOfUnknownMemberIsNoNews) {
+TEST(MemberTableTest, TombstoneOfUnknownMemberIsIgnored) {
   MemberTable table;
   EXPECT_FALSE(table.Apply(TimePoint(), MakeMember(1, 1, kDead)));
   EXPECT_FALSE(table.ApplyState(TimePoint(), NodeId(1), Incarnation(1), kLeft));
   EXPECT_EQ(table.size(), 0U);
 }
 
-// Symptom: a target that left its service is picked for ever. Sequence: a
-// member changes its record (incarnation 2) and is suspected; the suspicion of
-// incarnation 2 arrives before the record. Cause: the old record was marked
-// with the new incarnation, so the new record no longer was news.
-TEST(MemberTableTest, SuspicionAheadOfItsRecordWaitsForIt) {
+// Guards against selecting a target that has left its service. A member changes
+// its record (incarnation 2) and is suspected; the suspicion of incarnation 2
+// arrives before the record. If the old record were marked with the new
+// incarnation, the new record would be ignored.
+TEST(MemberTableTest, SuspicionAheadOfItsRecordIsIgnored) {
   MemberTable table;
   table.Apply(TimePoint(), MakeMember(2, 1, kAlive));
   EXPECT_FALSE(
@@ -114,7 +115,7 @@
   EXPECT_EQ(table.Dead().size(), 1U);
 }
 
-// The naive version: the greatest (incarnation, state) of each member.
+// Naive reference model: the greatest (incarnation, state) of each member.
 class NaiveTable {
  public:
   void Apply(const Member& news, bool has_record) {
--- a/source/unit_tests/core/membership/membership_property_test.cc
+++ b/source/unit_tests/core/membership/membership_property_test.cc
@@ -1,6 +1,6 @@
-// RapidCheck properties of membership under kills, freezes, cuts, losses and
-// departures, against a full-knowledge version: the list of what the commands
-// did to each node.
+// RapidCheck properties of membership under kills, freezes, partitions, packet
+// loss and departures, compared with a naive reference model that records what
+// the commands did to each node.
 
 #include <map>
 #include <string>
@@ -30,7 +30,7 @@
   kLeave
 };
 
-// Knows everything at once, by being told by the commands themselves.
+// Naive reference model: the commands set each node's state directly.
 class NaiveMembership {
  public:
   std::map<std::size_t, MemberState> states;
@@ -99,7 +99,7 @@
     }
   }
 
-  // Each live node's beliefs are those of the naive version.
+  // Whether each live node's table agrees with the naive model.
   bool AgreesWithNaive() {
     for (const auto& [observer, own_state] : m_naive.states) {
       if (own_state != MemberState::kAlive) {
@@ -151,7 +151,7 @@
     return count;
   }
 
-  // Nobody ever believes an older incarnation than it did.
+  // No node's incarnation of a member decreases or exceeds the member's own.
   void CheckIncarnations() {
     for (std::size_t i = 0; i < m_network.size(); ++i) {
       for (std::size_t j = 0; j < m_network.size(); ++j) {
@@ -181,10 +181,10 @@
                    milliseconds(*rc::gen::inRange(0, 15000)));
   }
   scenario.HealAll();
-  // Long enough for a dead member's detection and for the merging of sides.
+  // Enough time to detect a dead member and to merge the sides.
   RC_ASSERT(scenario.network().RunUntil(
       [&] { return scenario.AgreesWithNaive(); }, seconds(90)));
-  // And it stays so: without faults nobody is suspected for long.
+  // The state is stable: without faults no member is suspected for long.
   scenario.network().Run(seconds(20));
   RC_ASSERT(scenario.AgreesWithNaive());
 }
--- a/source/unit_tests/core/membership/membership_test.cc
+++ b/source/unit_tests/core/membership/membership_test.cc
@@ -1,4 +1,5 @@
-// Tests of `membership.h`: several nodes in virtual time, one failure each.
+// Tests of `membership.h`: several nodes in virtual time, one kind of failure
+// per test.
 
 #include "core/membership/membership.h"
 
@@ -29,7 +30,7 @@
   }
 }
 
-// Each node that is up holds exactly the others that are up as alive.
+// Whether each running node considers exactly the running nodes alive.
 bool HasConverged(MemberNetwork& network) {
   for (std::size_t i = 0; i < network.size(); ++i) {
     for (std::size_t j = 0; network.IsUp(i) && j < network.size(); ++j) {
@@ -67,7 +68,7 @@
   MemberNetwork m_network{kSeed};
 };
 
-TEST_F(MembershipTest, NewcomersMeetEverybody) {
+TEST_F(MembershipTest, NewNodesDiscoverAllMembers) {
   Start(30);
   EXPECT_EQ(m_network.at(0).phase(), MemberPhase::kMember);
   EXPECT_EQ(m_network.at(7).table().LiveOf(ServiceName("service-a")).size(),
@@ -81,17 +82,18 @@
   EXPECT_EQ(m_network.at(0).counters().datagrams_sent, 0U);
 }
 
-// Symptom: calls go to a node that crashed. Sequence: a process is killed and
-// says nothing. Cause: only silence tells.
-TEST_F(MembershipTest, DeadMemberIsNoticedByAll) {
+// Guards against routing calls to a crashed node. A killed process sends no
+// notice, so only missing acks reveal it.
+TEST_F(MembershipTest, DeadMemberIsDetectedByAll) {
   Start(20);
   m_network.Kill(3);
   EXPECT_TRUE(BecomesForAll(3, MemberState::kDead, seconds(12)));
 }
 
-// Symptom: a healthy member is found dead. Sequence: the path between two nodes
-// is cut, both reach all others. Cause: only the direct heartbeat was trusted.
-TEST_F(MembershipTest, OthersVouchForAMemberBehindABrokenPath) {
+// Guards against declaring a healthy member dead because only the direct
+// heartbeat counts: the path between two nodes is cut, while both reach all
+// others.
+TEST_F(MembershipTest, IndirectPingsKeepAMemberBehindABrokenPathAlive) {
   Start(8);
   m_network.BreakPath(0, 1);
   m_network.Run(minutes(2));
@@ -99,10 +101,10 @@
   EXPECT_EQ(m_network.at(0).counters().deaths_declared, 0U);
 }
 
-// Symptom: after a short stall a node has half the fleet declared dead.
-// Sequence: SIGSTOP with heartbeats outstanding, then SIGCONT after every
-// deadline. Cause: overdue deadlines were read as the others' silence.
-TEST_F(MembershipTest, FrozenNodeAccusesNobodyAndRejoins) {
+// Guards against a node that declares half the fleet dead after a short stall.
+// It gets SIGSTOP with heartbeats outstanding and SIGCONT after every deadline;
+// the overdue deadlines must not count as missing acks.
+TEST_F(MembershipTest, FrozenNodeSuspectsNobodyAndRejoins) {
   Start(20);
   const Incarnation before = m_network.at(5).self().incarnation;
   m_network.Freeze(5);
@@ -117,10 +119,10 @@
   EXPECT_GT(m_network.at(5).self().incarnation, before);
 }
 
-// Symptom: a node that departed long ago is alive again everywhere. Sequence: A
-// freezes; B leaves; the others forget B's tombstone; A wakes and still holds B
-// as alive. Cause: A passed on what it believed before it refreshed itself.
-TEST_F(MembershipTest, LongFrozenNodeDoesNotRaiseTheDeparted) {
+// Guards against a departed node that becomes alive again everywhere. A
+// freezes; B leaves; the others remove B's tombstone; A resumes and still
+// considers B alive. A must not pass on its table before it has refreshed it.
+TEST_F(MembershipTest, LongFrozenNodeDoesNotResurrectDepartedMembers) {
   Start(10);
   m_network.Freeze(2);
   m_network.at(4).Leave(m_network.now());
@@ -129,7 +131,7 @@
   m_network.Run(minutes(30));
   ASSERT_EQ(m_network.at(0).table().Find(m_network.id(4)), nullptr);
   m_network.Resume(2);
-  const auto is_raised = [&] {
+  const auto is_resurrected = [&] {
     for (std::size_t i = 0; i < m_network.size(); ++i) {
       if (i != 4 && m_network.StateAt(i, 4) != MemberState::kDead) {
         return true;
@@ -137,13 +139,13 @@
     }
     return false;
   };
-  EXPECT_FALSE(m_network.RunUntil(is_raised, seconds(30)));
+  EXPECT_FALSE(m_network.RunUntil(is_resurrected, seconds(30)));
   EXPECT_TRUE(HasConverged(m_network));
 }
 
-// Symptom: two halves of the fleet never meet again. Sequence: a region is cut
-// off until each side holds the other for dead; the cut heals. Cause: nobody
-// sends to the dead.
+// Guards against two halves of the fleet that never merge. A region is cut off
+// until each side has declared the other dead, and the cut heals; the halves
+// only merge if nodes keep pinging dead members.
 TEST_F(MembershipTest, HealedRegionsMerge) {
   Start(24);
   for (std::size_t i = 0; i < 24; ++i) {
@@ -170,16 +172,16 @@
   m_network.Run(minutes(1));
   EXPECT_TRUE(AllOthers(9, MemberState::kLeft));
   EXPECT_EQ(m_network.at(9).phase(), MemberPhase::kLeft);
-  // While it drains it still hears of others.
+  // While it drains it still receives news of others.
   m_network.Kill(8);
   EXPECT_TRUE(m_network.RunUntil(
       [&] { return m_network.StateAt(9, 8) == MemberState::kDead; },
       seconds(20)));
 }
 
-// Symptom: a replaced instance's predecessor never dies. Sequence: a process
-// ends and another starts at the same address. Cause: the newcomer answered
-// heartbeats meant for the old one.
+// Guards against a replaced node that is never declared dead: a process ends,
+// another starts at the same address, and the replacement must not answer
+// heartbeats meant for its predecessor.
 TEST_F(MembershipTest, ReplacementDoesNotAnswerForItsPredecessor) {
   Start(6);
   m_network.Replace(2, NodeId(777));
@@ -192,13 +194,13 @@
       seconds(20)));
 }
 
-// Symptom: a replacement knows only itself while the table is down. Sequence:
-// its predecessor died long before, so no news of that travels any more, and
-// the table cannot introduce it; its peers go on pinging the dead member at the
-// same address. Cause: a ping for another member was dropped unread.
+// Guards against a replacement that stays isolated while the table is down. Its
+// predecessor died long before, so no news of that is sent any more, and the
+// table provides no addresses; but its peers keep pinging the dead member at
+// the same address, and such a ping must not be dropped unread.
 TEST_F(MembershipTest, LateReplacementIsFoundByThePingsForItsPredecessor) {
   Start(6);
-  // The first node has no seed but itself.
+  // The first node has no seed except itself.
   m_network.Kill(0);
   m_network.Run(seconds(60));
   m_network.Replace(0, NodeId(1000));
@@ -225,7 +227,7 @@
       seconds(5)));
 }
 
-TEST_F(MembershipTest, QueryRevisionFindsWhoIsBehind) {
+TEST_F(MembershipTest, QueryRevisionCountsMembersThatLag) {
   Start(12);
   for (std::size_t i = 0; i < 11; ++i) {
     m_network.at(i).UpdateSelf(m_network.now(), m_network.at(i).self().target,
@@ -242,7 +244,7 @@
   EXPECT_TRUE(m_network.RunUntil([&] { return behind() == 0; }, seconds(5)));
 }
 
-TEST_F(MembershipTest, BroadcastReachesEachOnceAndNewcomersToo) {
+TEST_F(MembershipTest, BroadcastReachesEachMemberOnceIncludingNewOnes) {
   Start(30);
   m_network.SetLoss(0.1);
   const BroadcastItem item{BroadcastKind(3), "poison", "suspect", minutes(5)};
--- a/source/unit_tests/core/membership/news_queue_test.cc
+++ b/source/unit_tests/core/membership/news_queue_test.cc
@@ -14,15 +14,15 @@
 namespace bulrushmount {
 namespace {
 
-using Verdict = NewsQueue::Verdict;
+using WriteResult = NewsQueue::WriteResult;
 
-TEST(NewsQueueTest, LeastSentGoesFirstAndEachOnlySoOften) {
+TEST(NewsQueueTest, SendsLeastTransmittedFirstUpToTheLimit) {
   NewsQueue queue;
   queue.Push(NodeId(1));
   std::vector<NodeId> order;
   const auto write_one = [&](const NewsQueue::Subject& subject) {
     order.push_back(std::get<NodeId>(subject));
-    return Verdict::kSent;
+    return WriteResult::kSent;
   };
   queue.Offer(3, write_one);
   queue.Push(NodeId(2));
@@ -36,18 +36,18 @@
   EXPECT_TRUE(queue.empty());
 }
 
-TEST(NewsQueueTest, KeepsWhatFoundNoRoomAndDropsWhatIsObsolete) {
+TEST(NewsQueueTest, KeepsItemsThatDidNotFitAndDropsObsoleteOnes) {
   NewsQueue queue;
   queue.Push(NodeId(1));
   queue.Push(NodeId(2));
   queue.Offer(3, [](const NewsQueue::Subject& subject) {
-    return std::get<NodeId>(subject) == NodeId(1) ? Verdict::kNoRoom
-                                                  : Verdict::kObsolete;
+    return std::get<NodeId>(subject) == NodeId(1) ? WriteResult::kNoRoom
+                                                  : WriteResult::kObsolete;
   });
   EXPECT_EQ(queue.size(), 1U);
 }
 
-TEST(BroadcastStoreTest, TakesAnItemOnceUntilItExpires) {
+TEST(BroadcastStoreTest, AcceptsAnItemOnceUntilItExpires) {
   BroadcastStore store;
   const TimePoint start;
   const BroadcastItem item{BroadcastKind(1), "key", "payload",
@@ -61,7 +61,7 @@
   EXPECT_EQ(store.Find(hash), nullptr);
 }
 
-TEST(BroadcastStoreTest, RefusesWhatIsTooLargeOrOverAndStaysBounded) {
+TEST(BroadcastStoreTest, RefusesOversizedAndExpiredItemsAndStaysBounded) {
   BroadcastStore store;
   BroadcastHash hash;
   const auto second = std::chrono::seconds(1);
@@ -79,7 +79,7 @@
   EXPECT_NE(store.Find(hash), nullptr);
 }
 
-TEST(HeartbeatScheduleTest, ComesRoundToEachWithABoundedFarShare) {
+TEST(HeartbeatScheduleTest, VisitsEveryMemberWithABoundedFarShare) {
   MemberTable table;
   SeededRandomSource random(3);
   for (std::uint64_t id = 1; id <= 12; ++id) {
@@ -100,7 +100,7 @@
   }
 }
 
-TEST(HeartbeatScheduleTest, FindsNobodyWhenAlone) {
+TEST(HeartbeatScheduleTest, FindsNoMemberWhenIsolated) {
   MemberTable table;
   SeededRandomSource random(3);
   HeartbeatSchedule schedule(NodeId(1), Region("near"), 5);
