--- a/source/core/membership/member_directory.cc
+++ b/source/core/membership/member_directory.cc
@@ -439,7 +439,8 @@
   return m_state->rows_found;
 }
 
-std::vector<Endpoint> MemberDirectory::TakeFound(const MemberTable& table) {
+std::vector<Endpoint> MemberDirectory::TakeDiscoveredEndpoints(
+    const MemberTable& table) {
   if (!std::exchange(m_state->has_addresses_to_try, false)) {
     return {};
   }
--- a/source/core/membership/member_directory.h
+++ b/source/core/membership/member_directory.h
@@ -93,7 +93,7 @@
   // Addresses to try next, for Membership::Introduce: a few addresses of nodes
   // that `table` does not know, nodes with the newest rows first. Empty if no
   // attempt is due.
-  std::vector<Endpoint> TakeFound(const MemberTable& table);
+  std::vector<Endpoint> TakeDiscoveredEndpoints(const MemberTable& table);
 
   // Number of rows of other nodes in the last successful scan; empty before the
   // first.
--- a/source/core/node_logic/node_updates.cc
+++ b/source/core/node_logic/node_updates.cc
@@ -34,7 +34,8 @@
 }  // namespace
 
 void Node::PropagateChanges(TimePoint now) {
-  m_membership.Introduce(now, m_directory.TakeFound(m_membership.table()));
+  m_membership.Introduce(
+      now, m_directory.TakeDiscoveredEndpoints(m_membership.table()));
   ApplyDirectoryChanges(now);
   DrainOwnerWhenDue(now);
   PublishTarget(now);
--- a/source/unit_tests/core/membership/member_directory_test.cc
+++ b/source/unit_tests/core/membership/member_directory_test.cc
@@ -82,9 +82,9 @@
   EXPECT_TRUE(first.directory.rows_found());
   Node second(2, m_random, m_service, m_now);
   Run(second, seconds(1));
-  EXPECT_EQ(second.directory.TakeFound(second.table),
+  EXPECT_EQ(second.directory.TakeDiscoveredEndpoints(second.table),
             std::vector<Endpoint>{AddressOf(1)});
-  EXPECT_TRUE(second.directory.TakeFound(second.table).empty());
+  EXPECT_TRUE(second.directory.TakeDiscoveredEndpoints(second.table).empty());
 }
 
 // Guards against a node that started while the table was down and stays
@@ -150,7 +150,7 @@
   WriteRows(101, 100 + MemberDirectorySettings{}.wanted_rows);
   Node node(1, m_random, m_service, m_now);
   Run(node, milliseconds(500));
-  EXPECT_EQ(node.directory.TakeFound(node.table).size(), 8U);
+  EXPECT_EQ(node.directory.TakeDiscoveredEndpoints(node.table).size(), 8U);
   node.table.Apply(m_now, MakeMember(101));
   Run(node, seconds(5));
   EXPECT_EQ(m_service.reads() + m_service.writes(), 1U);
@@ -168,7 +168,8 @@
   std::vector<Endpoint> tried;
   for (int step = 0; step < 100; ++step) {
     Run(node, milliseconds(100));
-    for (const Endpoint& endpoint : node.directory.TakeFound(node.table))
+    for (const Endpoint& endpoint :
+         node.directory.TakeDiscoveredEndpoints(node.table))
       tried.push_back(endpoint);
     if (step == 5)
       EXPECT_EQ(m_service.reads() + m_service.writes(), 1U);
@@ -190,7 +191,8 @@
   WriteRows(101, 300);
   Node node(1, m_random, m_service, m_now);
   Run(node, milliseconds(200));
-  for (const Endpoint& endpoint : node.directory.TakeFound(node.table))
+  for (const Endpoint& endpoint :
+       node.directory.TakeDiscoveredEndpoints(node.table))
     EXPECT_GT(endpoint.port, AddressOf(236).port);
 }
 
@@ -215,7 +217,7 @@
   m_service.table().Apply(transact);
   Node node(1, m_random, m_service, m_now);
   Run(node, seconds(1));
-  EXPECT_EQ(node.directory.TakeFound(node.table),
+  EXPECT_EQ(node.directory.TakeDiscoveredEndpoints(node.table),
             std::vector<Endpoint>{AddressOf(6)});
 }
 
