--- a/source/core/contracts/config_codec.cc
+++ b/source/core/contracts/config_codec.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Longer than any process lives, and far from an overflow.
+// Longer than any process runs, and far below an overflow of Duration.
 constexpr std::uint64_t kMaxAgeMs = 1'000'000'000'000;
 
 template <typename Message>
--- a/source/core/contracts/config_codec.h
+++ b/source/core/contracts/config_codec.h
@@ -1,4 +1,5 @@
-// The configuration as bytes: rows of the table and payloads of datagrams.
+// Encodes and decodes the configuration: rows of the table and payloads of
+// datagrams.
 
 #ifndef BULRUSHMOUNT_CORE_CONTRACTS_CONFIG_CODEC_H_
 #define BULRUSHMOUNT_CORE_CONTRACTS_CONFIG_CODEC_H_
@@ -16,7 +17,8 @@
 
 namespace bulrushmount {
 
-// Row keys: `config/revision`, and `contract/` with the workspace's name.
+// Row keys: `config/revision`, and `contract/` followed by the workspace's
+// name.
 inline constexpr char kRevisionRowKey[] = "config/revision";
 inline constexpr char kContractRowPrefix[] = "contract/";
 std::string ContractRowKey(const WorkspaceName& workspace);
@@ -25,7 +27,7 @@
 std::string EncodeRevisionRecord(const RevisionRecord& record);
 std::string EncodeBatch(const ConfigBatch& batch);
 
-// Empty if the bytes are no such value.
+// Empty if the bytes are not a valid encoding.
 std::optional<ConfigChange> DecodeChange(std::string_view bytes);
 std::optional<RevisionRecord> DecodeRevisionRecord(std::string_view bytes);
 std::optional<ConfigBatch> DecodeBatch(std::string_view bytes);
@@ -53,10 +55,11 @@
 struct RevisionPulse {
   Revision revision;
   std::optional<Duration> confirmed_age;
-  // Empty while the sender does not know them.
+  // Empty while the sender does not know the evacuations.
   std::optional<EvacuationReport> evacuations{};
-  // Answers a pulse whose sender lacked something; not answered further, so
-  // nodes with different known zones do not answer each other endlessly.
+  // Set on the answer to a pulse whose sender lacked something. An answer is
+  // not answered, so nodes that know different zones do not exchange pulses
+  // endlessly.
   bool is_answer = false;
 };
 
--- a/source/core/contracts/config_reader.h
+++ b/source/core/contracts/config_reader.h
@@ -1,4 +1,5 @@
-// Where a node's configuration is read from when no peer can serve it.
+// Interface of the source that a node reads its configuration from when no peer
+// can provide it.
 
 #ifndef BULRUSHMOUNT_CORE_CONTRACTS_CONFIG_READER_H_
 #define BULRUSHMOUNT_CORE_CONTRACTS_CONFIG_READER_H_
@@ -13,14 +14,15 @@
 namespace bulrushmount {
 
 struct ConfigReadResult {
-  // False if there was no answer, or one that makes no sense.
+  // False if there was no response or an invalid one.
   bool is_ok = false;
-  // Empty if there is nothing newer.
+  // Empty if there is no newer configuration.
   std::optional<ConfigBatch> batch;
-  // The operator has not written anything yet, so that no configuration is
-  // known; not the same as one without contracts.
+  // The operator has not written a document yet, so the configuration is
+  // unknown. This differs from a known configuration without contracts.
   bool is_unwritten = false;
-  // Empty if the reader does not follow evacuations, or there was no answer.
+  // Empty if the reader does not read evacuations, or there was no valid
+  // response.
   std::optional<EvacuationRead> evacuations{};
 };
 
@@ -32,15 +34,16 @@
 
   virtual bool is_reading() const = 0;
 
-  // What leads on from `since`. One at a time.
+  // Reads the changes after `since`. Only one read at a time.
   virtual void Read(Revision since, Callback done) = 0;
 
-  // Whether it can tell of a change by itself. Else it is polled.
+  // Whether the reader can wait for changes; otherwise it must be polled.
   virtual bool can_watch() const { return false; }
 
-  // Calls back once there is something newer, or at the end of a wait without.
-  // Not ok: it may have missed a change, so read again. One at a time, after a
-  // read that was ok.
+  // Calls `done` when there is a newer configuration, or at the end of a wait
+  // without one. If the result is not ok, a change may have been missed and the
+  // caller must read again. Only one watch at a time, and only after a read
+  // that was ok.
   virtual void Watch(Revision since, const Callback& done) {}
 };
 
--- a/source/core/contracts/config_sync.cc
+++ b/source/core/contracts/config_sync.cc
@@ -14,12 +14,12 @@
 
 namespace {
 
-// Table reads that failed in a row double the wait up to this power of two.
+// Consecutive failed table reads double the delay up to this power of two.
 constexpr std::uint32_t kMaxBackoffPower = 4;
-constexpr Duration kMinTableWait = std::chrono::seconds(1);
-// For a table that is watched: a change must be known two seconds after the
-// table is back, so nobody waits for longer than that.
-constexpr Duration kMostWatchWait = std::chrono::seconds(2);
+constexpr Duration kMinTableRetryDelay = std::chrono::seconds(1);
+// Limit for a table that is watched: a change must be known two seconds after
+// the table is available again.
+constexpr Duration kMaxWatchRetryDelay = std::chrono::seconds(2);
 
 Duration Scale(Duration duration, double factor) {
   return FromSeconds(ToSeconds(duration) * factor);
@@ -41,16 +41,18 @@
       m_random(random),
       m_reader(std::move(reader)),
       m_uploader(store, port) {
-  // Wide, because the member count is not known yet.
-  m_next_poll = m_reader->can_watch() ? now + m_settings.check_delay
-                                      : now + m_settings.startup_window +
-                                            UpTo(m_settings.startup_window * 2);
-  m_next_pulse = now + UpTo(m_settings.pulse_period);
-  // A newcomer has no configuration: it reads the table, unless a peer that it
-  // hears of is faster.
-  m_table_at = now + (m_reader->can_watch() ? m_settings.uninformed_wait
-                                            : UpTo(m_settings.startup_window));
-  WaitForTable(now);
+  // A wide window, because the member count is not known yet.
+  m_next_poll = m_reader->can_watch()
+                    ? now + m_settings.check_delay
+                    : now + m_settings.startup_window +
+                          RandomUpTo(m_settings.startup_window * 2);
+  m_next_pulse = now + RandomUpTo(m_settings.pulse_period);
+  // A new node has no configuration: it reads the table unless a peer provides
+  // the configuration earlier.
+  m_table_at =
+      now + (m_reader->can_watch() ? m_settings.initial_table_delay
+                                   : RandomUpTo(m_settings.startup_window));
+  ScheduleTableRead(now);
 }
 
 void ConfigSync::SetWatchDuty(TimePoint now, bool is_on_duty) {
@@ -67,22 +69,24 @@
 void ConfigSync::OnPeersExpected(TimePoint now, bool are_likely) {
   if (!m_reader->can_watch() || m_store.is_known() || m_table_failures > 0)
     return;
-  m_table_at = now + UpTo(are_likely ? m_settings.read_window
-                                     : m_settings.lone_read_window);
+  m_table_at =
+      now + RandomUpTo(are_likely ? m_settings.read_window_with_peers
+                                  : m_settings.read_window_without_peers);
   if (m_fetch_state == FetchState::kTableDelay)
-    WaitForTable(now);
+    ScheduleTableRead(now);
 }
 
 void ConfigSync::SetMemberCount(TimePoint now, std::size_t count) {
   m_member_count = std::max<std::size_t>(count, 1);
-  // After a cut the few that are left must not wait as long as the many did,
-  // nor the many that are known by now read as often as the few.
+  // Reschedules the poll when the member count changed a lot. After a partition
+  // the few remaining nodes must not use the long interval of a large fleet,
+  // and a large fleet must not poll as often as the few nodes known before.
   const Duration interval = PollInterval();
   const bool has_grown =
       m_reader->can_watch() && interval > m_poll_interval * 2;
-  const bool is_drawn = m_poll_interval > Duration::zero();
-  if (is_drawn && (has_grown || interval * 2 < m_poll_interval))
-    DrawPoll(now);
+  const bool is_scheduled = m_poll_interval > Duration::zero();
+  if (is_scheduled && (has_grown || interval * 2 < m_poll_interval))
+    SchedulePoll(now);
 }
 
 void ConfigSync::OnPeerRevision(TimePoint now,
@@ -103,13 +107,14 @@
     return Apply(now, ConfigBatch{before, change.revision, {change}});
   if (change.revision.value() <= m_store.revision().value())
     return;
-  // Others committed in between; only this node may know yet.
+  // Other changes were committed in between; this node may be the only one that
+  // knows of this one.
   if (change.revision.value() > m_target.value())
     m_target = change.revision;
   if (m_fetch_state == FetchState::kTableReading)
     return;
   m_table_at = now;
-  WaitForTable(now);
+  ScheduleTableRead(now);
 }
 
 void ConfigSync::OnDatagram(TimePoint now,
@@ -120,7 +125,7 @@
     return;
   if (const auto* const request = std::get_if<BatchRequest>(&*datagram)) {
     m_uploader.OnRequest(now, from, *request);
-    // A newcomer serves nothing before it knows the evacuations too.
+    // A new node routes no calls before it knows the evacuations as well.
     if (request->since == Revision(0))
       SendPulse(now, from, /*is_answer=*/true);
   } else if (const auto* const chunk = std::get_if<BatchChunk>(&*datagram))
@@ -132,18 +137,18 @@
 void ConfigSync::OnTimer(TimePoint now) {
   if (now >= m_next_pulse) {
     m_next_pulse =
-        now + Jittered(now < m_spreading_until ? m_settings.fast_pulse_period
-                                               : m_settings.pulse_period);
+        now + Jittered(now < m_fast_pulses_until ? m_settings.fast_pulse_period
+                                                 : m_settings.pulse_period);
     SendPulses(now, 1);
   }
   if (m_fetch_state != FetchState::kIdle && now >= m_fetch_at)
-    StepFetch(now);
+    AdvanceFetch(now);
   ResumeWatching(now);
   if (now >= m_next_poll) {
-    const bool is_draw_only =
+    const bool is_first_schedule =
         m_reader->can_watch() && m_poll_interval == Duration::zero();
-    DrawPoll(now);
-    if (!is_draw_only && !m_is_on_duty)
+    SchedulePoll(now);
+    if (!is_first_schedule && !m_is_on_duty)
       ReadTable(now);
   }
 }
@@ -169,7 +174,7 @@
   return FromSeconds(static_cast<double>(m_member_count) / fleet_rate);
 }
 
-void ConfigSync::DrawPoll(TimePoint now) {
+void ConfigSync::SchedulePoll(TimePoint now) {
   m_poll_interval = PollInterval();
   m_next_poll = now + Exponential(m_poll_interval);
 }
@@ -182,11 +187,11 @@
   return Scale(mean, -std::log1p(-m_random.Fraction()));
 }
 
-Duration ConfigSync::UpTo(Duration bound) {
+Duration ConfigSync::RandomUpTo(Duration bound) {
   return Scale(bound, m_random.Fraction());
 }
 
-// --- Hearing and telling ----------------------------------------------------
+// --- Exchange with peers ----------------------------------------------------
 
 void ConfigSync::OnRevisionReported(TimePoint now,
                                     const Endpoint& from,
@@ -199,12 +204,13 @@
                        m_fetch_state == FetchState::kTableDelay;
   if (!may_ask)
     return;
-  // While it waits for the table, one more peer gets one more try.
+  // While a table read is pending, each further peer that reports the revision
+  // gets one request.
   m_peer_attempts =
       m_fetch_state == FetchState::kIdle ? 0 : m_settings.peer_attempts - 1;
   m_source = from;
   m_fetch_state = FetchState::kPeerDelay;
-  m_fetch_at = now + UpTo(m_settings.first_request_jitter);
+  m_fetch_at = now + RandomUpTo(m_settings.first_request_jitter);
 }
 
 void ConfigSync::OnPulse(TimePoint now,
@@ -218,8 +224,8 @@
     return OnRevisionReported(now, from, pulse.revision);
   if (pulse.revision.value() < m_store.revision().value())
     SendPulse(now, from, /*is_answer=*/true);
-  // What the peer knew not to be followed by anything newer is not newer than
-  // what is in force here.
+  // The peer's confirmation also covers the configuration in force here, which
+  // is not older than the peer's.
   if (pulse.confirmed_age.has_value()) {
     const TimePoint confirmed_at = now - *pulse.confirmed_age;
     if (!m_confirmed_at.has_value() || *m_confirmed_at < confirmed_at)
@@ -235,24 +241,25 @@
   m_port.Send(to, DatagramKind::kConfig, EncodeDatagram(pulse));
 }
 
-void ConfigSync::TakeEvacuations(TimePoint now, const EvacuationRead& read) {
+void ConfigSync::ApplyEvacuationRead(TimePoint now,
+                                     const EvacuationRead& read) {
   if (m_evacuations.OnRead(now, read))
-    SpreadEvacuations(now);
+    AnnounceEvacuations(now);
 }
 
 void ConfigSync::MergePeerEvacuations(TimePoint now,
                                       const Endpoint& from,
                                       const RevisionPulse& pulse) {
   if (pulse.evacuations && m_evacuations.OnPeerReport(now, *pulse.evacuations))
-    SpreadEvacuations(now);
+    AnnounceEvacuations(now);
   const bool lacks_any =
       !pulse.evacuations || m_evacuations.IsNewerThan(*pulse.evacuations);
   if (m_evacuations.is_known() && lacks_any && !pulse.is_answer)
     SendPulse(now, from, /*is_answer=*/true);
 }
 
-void ConfigSync::SpreadEvacuations(TimePoint now) {
-  m_spreading_until = now + m_settings.spreading_time;
+void ConfigSync::AnnounceEvacuations(TimePoint now) {
+  m_fast_pulses_until = now + m_settings.fast_pulse_duration;
   m_next_pulse = std::min(m_next_pulse, now + m_settings.fast_pulse_period);
   SendPulses(now, m_settings.push_fanout);
 }
@@ -270,13 +277,13 @@
 
 // --- Fetching ---------------------------------------------------------------
 
-void ConfigSync::StepFetch(TimePoint now) {
+void ConfigSync::AdvanceFetch(TimePoint now) {
   switch (m_fetch_state) {
     case FetchState::kIdle:
     case FetchState::kTableReading:
       return;
     case FetchState::kPeerDelay:
-      return AskPeer(now);
+      return RequestFromPeer(now);
     case FetchState::kPeerAsked:
       return OnPeerFailed(now);
     case FetchState::kTableDelay:
@@ -284,11 +291,11 @@
   }
 }
 
-void ConfigSync::AskPeer(TimePoint now) {
+void ConfigSync::RequestFromPeer(TimePoint now) {
   const std::optional<Endpoint> source = PickSource();
   if (!source.has_value())
-    return WaitForTable(now);
-  m_asked = *source;
+    return ScheduleTableRead(now);
+  m_asked_peer = *source;
   m_fetch_state = FetchState::kPeerAsked;
   m_download.emplace(m_store.revision());
   SendRequest(now);
@@ -296,14 +303,15 @@
 
 void ConfigSync::SendRequest(TimePoint now) {
   m_fetch_at = now + Jittered(m_settings.peer_timeout);
-  m_port.Send(m_asked, DatagramKind::kConfig,
+  m_port.Send(m_asked_peer, DatagramKind::kConfig,
               EncodeDatagram(m_download->MakeRequest()));
 }
 
 std::optional<Endpoint> ConfigSync::PickSource() {
   if (m_source.has_value())
     return std::exchange(m_source, std::nullopt);
-  // One pass that leaves each candidate with the same chance.
+  // Reservoir sampling: one pass in which each candidate has the same
+  // probability.
   std::optional<Endpoint> picked;
   std::size_t candidates = 0;
   for (const auto& [endpoint, peer] : m_peers) {
@@ -319,14 +327,14 @@
   ++m_peer_attempts;
   if (m_peer_attempts >= m_settings.peer_attempts) {
     m_download.reset();
-    return WaitForTable(now);
+    return ScheduleTableRead(now);
   }
-  // Chunks that have come are kept when the same peer is asked again, so a
-  // large batch gets through although some of its datagrams are lost.
+  // Chunks already received are kept when the same peer is asked again, so a
+  // large batch completes although some of its datagrams are lost.
   const std::optional<Endpoint> source = PickSource();
-  if (!source.has_value() || *source == m_asked)
+  if (!source.has_value() || *source == m_asked_peer)
     return SendRequest(now);
-  m_asked = *source;
+  m_asked_peer = *source;
   m_download.emplace(m_store.revision());
   SendRequest(now);
 }
@@ -334,7 +342,7 @@
 void ConfigSync::OnChunk(TimePoint now,
                          const Endpoint& from,
                          const BatchChunk& chunk) {
-  if (m_fetch_state != FetchState::kPeerAsked || from != m_asked)
+  if (m_fetch_state != FetchState::kPeerAsked || from != m_asked_peer)
     return;
   switch (m_download->OnChunk(chunk)) {
     case ChunkResult::kIgnored:
@@ -346,7 +354,7 @@
       return SendRequest(now);
     case ChunkResult::kTooLarge:
       m_download.reset();
-      return WaitForTable(now);
+      return ScheduleTableRead(now);
     case ChunkResult::kComplete:
       break;
   }
@@ -359,23 +367,25 @@
   Apply(now, *batch);
   if (m_fetch_state != FetchState::kPeerAsked)
     return;
-  // The peer itself was not at the newest revision yet.
+  // The peer did not have the newest revision itself.
   m_fetch_state = FetchState::kPeerDelay;
-  m_fetch_at = now + UpTo(m_settings.first_request_jitter);
+  m_fetch_at = now + RandomUpTo(m_settings.first_request_jitter);
 }
 
-void ConfigSync::WaitForTable(TimePoint now) {
-  // Spread over the time in which the whole fleet may read, so that all nodes
-  // together stay below the rate even if no peer serves anybody.
+void ConfigSync::ScheduleTableRead(TimePoint now) {
+  // Spreads the reads of all nodes over a window, so that the fleet stays below
+  // the rate even if no peer can serve any node.
   if (!m_table_at.has_value()) {
     const Duration window = FromSeconds(static_cast<double>(m_member_count) /
                                         m_settings.fleet_fetches_per_second);
     const double backoff = 1U << std::min(m_table_failures, kMaxBackoffPower);
-    const Duration floor = m_table_failures > 0 ? kMinTableWait : Duration(0);
+    const Duration floor =
+        m_table_failures > 0 ? kMinTableRetryDelay : Duration(0);
     m_table_at =
         m_reader->can_watch() && m_table_failures > 0
-            ? now + kMinTableWait + UpTo(kMostWatchWait - kMinTableWait)
-            : now + UpTo(Scale(std::max(window, floor), backoff));
+            ? now + kMinTableRetryDelay +
+                  RandomUpTo(kMaxWatchRetryDelay - kMinTableRetryDelay)
+            : now + RandomUpTo(Scale(std::max(window, floor), backoff));
   }
   m_download.reset();
   m_fetch_state = FetchState::kTableDelay;
@@ -385,7 +395,7 @@
 void ConfigSync::ReadTable(TimePoint now) {
   if (m_fetch_state == FetchState::kTableDelay)
     m_fetch_state = FetchState::kTableReading;
-  // A poll that is under way serves the fetch as well.
+  // A poll in progress also serves the fetch.
   if (m_reader->is_reading())
     return;
   m_read_started = now;
@@ -401,17 +411,18 @@
   if (!result.is_ok) {
     if (!was_fetch)
       return;
-    // Peers were faster than the table. A watcher asks on all the same, after
-    // its wait: it would else storm a table that turns it away.
+    // Peers have delivered the configuration before the table responded. A
+    // watcher still reads again, but after a delay, so that a table that
+    // rejects requests is not flooded.
     const bool is_current =
         m_store.is_known() && m_store.revision().value() >= m_target.value();
     if (is_current && !m_is_on_duty)
       return FinishFetch();
     ++m_table_failures;
     m_table_at.reset();
-    // Peers may have come within reach meanwhile.
+    // Peers may have become reachable in the meantime.
     m_peer_attempts = 0;
-    WaitForTable(now);
+    ScheduleTableRead(now);
     if (PickSource().has_value()) {
       m_fetch_state = FetchState::kPeerDelay;
       m_fetch_at = now + Jittered(m_settings.peer_timeout);
@@ -421,7 +432,7 @@
   m_confirmed_at =
       std::max(m_confirmed_at.value_or(m_read_started), m_read_started);
   if (result.evacuations)
-    TakeEvacuations(now, *result.evacuations);
+    ApplyEvacuationRead(now, *result.evacuations);
   if (result.batch.has_value())
     Apply(now, *result.batch);
   else if (m_store.revision() == Revision(0) && !result.is_unwritten)
@@ -431,7 +442,7 @@
   StartWatch(now);
 }
 
-// One line when the table is lost, and one when it is back.
+// Logs one line when the table becomes unavailable and one when it is back.
 void ConfigSync::RecordTableState(TimePoint now, bool is_available) {
   if (is_available == m_is_table_available)
     return;
@@ -459,7 +470,7 @@
   if (result.is_ok) {
     m_confirmed_at = std::max(m_confirmed_at.value_or(now), now);
     if (result.evacuations)
-      TakeEvacuations(now, *result.evacuations);
+      ApplyEvacuationRead(now, *result.evacuations);
     if (result.batch.has_value())
       Apply(now, *result.batch);
     StartWatch(now);
@@ -468,14 +479,14 @@
   ResumeWatching(now);
 }
 
-// Changes may have been missed, so the watch goes on after a read.
+// Changes may have been missed, so the table is read before the next watch.
 void ConfigSync::ResumeWatching(TimePoint now) {
   const bool is_busy = m_is_watching || m_reader->is_reading() ||
                        m_fetch_state != FetchState::kIdle;
   if (!m_is_on_duty || is_busy)
     return;
-  m_table_at = now + UpTo(m_settings.reread_window);
-  WaitForTable(now);
+  m_table_at = now + RandomUpTo(m_settings.reread_window);
+  ScheduleTableRead(now);
 }
 
 void ConfigSync::Apply(TimePoint now, const ConfigBatch& batch) {
--- a/source/core/contracts/config_sync.h
+++ b/source/core/contracts/config_sync.h
@@ -1,5 +1,6 @@
-// Keeps a node's configuration current: hears of newer revisions from peers and
-// by polling or watching the table, fetches what is missing, and tells others.
+// Keeps a node's configuration up to date: learns of newer revisions from peers
+// and by polling or watching the table, fetches the missing changes, and
+// notifies other nodes.
 
 #ifndef BULRUSHMOUNT_CORE_CONTRACTS_CONFIG_SYNC_H_
 #define BULRUSHMOUNT_CORE_CONTRACTS_CONFIG_SYNC_H_
@@ -22,49 +23,55 @@
 namespace bulrushmount {
 
 struct ConfigSyncSettings {
-  // The revision row is read so often by the whole fleet together.
+  // Polls of the revision row per second by the whole fleet together.
   double fleet_polls_per_second = 2.0;
-  // Nodes that no peer can serve turn to the table so often, together.
+  // Table fetches per second by all nodes together that no peer can serve.
   double fleet_fetches_per_second = 500.0;
-  // A newcomer reads the table at a random time within this.
+  // A new node reads the table at a random time within this window.
   Duration startup_window = std::chrono::seconds(2);
-  // Where the table can be watched, few nodes do and the others hear of changes
-  // from peers; those read the table so often, together, in case that all who
-  // watch have lost the table and nobody knows.
+  // If the table can be watched, a few nodes watch it and the others learn of
+  // changes from peers. The others still read the table at this rate, together,
+  // in case all watchers have lost the table and nobody notices.
   double fleet_checks_per_second = 1.0;
-  // From a start until the first check is drawn, by when members are known.
+  // Delay from the start until the first check is scheduled; by then the
+  // members are known.
   Duration check_delay = std::chrono::seconds(5);
-  // A newcomer that can hardly expect a peer reads the table within this.
-  Duration lone_read_window = std::chrono::milliseconds(300);
-  // The same where peers are likely: one of hundreds reads at once, and nearly
-  // all others have its answer before their turn comes.
-  Duration read_window = std::chrono::milliseconds(1500);
-  // The same as long as the members' rows say nothing.
-  Duration uninformed_wait = std::chrono::seconds(2);
-  // A request to a peer counts as lost after this.
+  // A new node that is unlikely to find a peer reads the table within this
+  // window.
+  Duration read_window_without_peers = std::chrono::milliseconds(300);
+  // The same if peers are likely: one of hundreds of nodes reads at once, and
+  // nearly all others receive its configuration before their turn comes.
+  Duration read_window_with_peers = std::chrono::milliseconds(1500);
+  // Delay of the first table read while the member directory has not been read.
+  Duration initial_table_delay = std::chrono::seconds(2);
+  // After this time a request to a peer counts as lost.
   Duration peer_timeout = std::chrono::milliseconds(250);
-  // Before the first request, at random, so that not all ask one node at once.
+  // Jitter before the first request, so that not all nodes ask the same peer at
+  // once.
   Duration first_request_jitter = std::chrono::milliseconds(50);
-  // Peers asked in vain before the table.
+  // Number of failed requests to peers before the node reads the table.
   std::uint32_t peer_attempts = 3;
-  // Each period a node tells one random peer what it has in force.
+  // Once per period a node sends its revision in force to one random peer.
   Duration pulse_period = std::chrono::seconds(2);
-  // After a watch that broke off, the table is read again within this.
+  // After a watch failed, the table is read again within this window.
   Duration reread_window = std::chrono::milliseconds(200);
-  // The same for a while after an evacuation began or ended: peers that missed
-  // the first messages must not start work in an evacuated zone for long.
+  // Pulse period for a while after an evacuation began or ended: peers that
+  // missed the first messages must not start work in an evacuated zone for
+  // long.
   Duration fast_pulse_period = std::chrono::milliseconds(400);
-  Duration spreading_time = std::chrono::seconds(5);
-  // Peers notified at once when a newer configuration is in force.
+  Duration fast_pulse_duration = std::chrono::seconds(5);
+  // Number of peers notified at once when a newer configuration comes into
+  // force.
   std::uint32_t push_fanout = 4;
 };
 
-// Reads of the table by the whole fleet, at most and in the mean over a second:
-// fleet_polls_per_second, and while peers cannot serve it
+// Upper bounds of the fleet's table reads, as a mean over one second:
+// fleet_polls_per_second, and while peers cannot serve the configuration,
 // fleet_fetches_per_second * (1 + kMaxSingleReads), which is 1,500.
 class ConfigSync {
  public:
-  // All references must outlive the object, and it must outlive its requests.
+  // All references must outlive the object, and the object must outlive its
+  // requests.
   ConfigSync(const ConfigSyncSettings& settings,
              ContractStore& store,
              EvacuationTable& evacuations,
@@ -76,21 +83,23 @@
   ConfigSync(const ConfigSync&) = delete;
   ConfigSync& operator=(const ConfigSync&) = delete;
 
-  // Where the table can be watched: this node is to do so, or leaves it to
-  // others.
+  // If the table can be watched: whether this node watches it or relies on
+  // other nodes.
   void SetWatchDuty(TimePoint now, bool is_on_duty);
 
-  // What is known of peers shortly after the start; until then a newcomer does
-  // not read the table.
+  // Reports whether peers are likely to exist, shortly after the start; until
+  // then a new node does not read the table.
   void OnPeersExpected(TimePoint now, bool are_likely);
 
-  // The last answer of the table made sense, or none came yet.
+  // The last response of the table was valid, or none has arrived yet.
   bool is_table_available() const { return m_is_table_available; }
 
-  // Live members with this node; at least 1. Spreads the polls.
+  // Number of live members including this node, at least 1. Determines the poll
+  // interval.
   void SetMemberCount(TimePoint now, std::size_t count);
 
-  // What gossip says a live peer has in force. `endpoint` is its gossip one.
+  // Gossip reports that a live peer has `revision` in force. `endpoint` is the
+  // peer's gossip address.
   void OnPeerRevision(TimePoint now,
                       NodeId node,
                       const Endpoint& endpoint,
@@ -98,10 +107,10 @@
   // The peer has left or died.
   void OnPeerRemoved(const Endpoint& endpoint);
 
-  // A change written through this node has been committed.
+  // A change that was written through this node has been committed.
   void OnLocalCommit(TimePoint now, const ConfigChange& change);
 
-  // The payload of a kConfig datagram. Ignores what makes no sense.
+  // Handles the payload of a kConfig datagram. Ignores invalid payloads.
   void OnDatagram(TimePoint now,
                   const Endpoint& from,
                   std::string_view payload);
@@ -109,24 +118,24 @@
   void OnTimer(TimePoint now);
   TimePoint NextWakeup() const;
 
-  // The newest revision that this node has heard of; above the store's while it
-  // fetches.
+  // The newest revision that this node knows of; higher than the store's while
+  // a fetch is in progress.
   Revision newest_known() const {
     return m_target.value() > m_store.revision().value() ? m_target
                                                          : m_store.revision();
   }
 
-  // How old the newest knowledge is that nothing newer was accepted: of this
-  // node's own read of the table or of a peer's. Empty if there is none. The
-  // transit of one datagram from node to node is not counted.
+  // Time since the configuration in force was last confirmed as the newest, by
+  // a table read of this node or of a peer. Empty if it never was. Does not
+  // include the transit time of one datagram between nodes.
   std::optional<Duration> AgeOfConfirmation(TimePoint now) const;
 
  private:
   enum class FetchState : std::uint8_t {
     kIdle,
-    // Waits before it asks m_source, or else any peer.
+    // Waits before it sends a request to m_source, or else to any peer.
     kPeerDelay,
-    // Has asked m_asked.
+    // A request to m_asked_peer is outstanding.
     kPeerAsked,
     kTableDelay,
     kTableReading,
@@ -138,35 +147,36 @@
   };
 
   Duration PollInterval() const;
-  void DrawPoll(TimePoint now);
+  void SchedulePoll(TimePoint now);
   Duration Jittered(Duration mean);
-  // Without a memory: after all nodes started at once, their polls do not come
-  // in waves with minutes of silence in between.
+  // Exponentially distributed, i.e. memoryless: after all nodes started at
+  // once, their polls do not come in waves with minutes without a poll in
+  // between.
   Duration Exponential(Duration mean);
-  Duration UpTo(Duration bound);
+  Duration RandomUpTo(Duration bound);
 
   void OnRevisionReported(TimePoint now,
                           const Endpoint& from,
                           Revision revision);
   void OnPulse(TimePoint now, const Endpoint& from, const RevisionPulse& pulse);
   void OnChunk(TimePoint now, const Endpoint& from, const BatchChunk& chunk);
-  void TakeEvacuations(TimePoint now, const EvacuationRead& read);
+  void ApplyEvacuationRead(TimePoint now, const EvacuationRead& read);
   void MergePeerEvacuations(TimePoint now,
                             const Endpoint& from,
                             const RevisionPulse& pulse);
-  void SpreadEvacuations(TimePoint now);
+  void AnnounceEvacuations(TimePoint now);
   void SendPulse(TimePoint now, const Endpoint& to, bool is_answer);
   void SendPulses(TimePoint now, std::uint32_t count);
 
-  void StepFetch(TimePoint now);
-  void AskPeer(TimePoint now);
+  void AdvanceFetch(TimePoint now);
+  void RequestFromPeer(TimePoint now);
   void SendRequest(TimePoint now);
   void OnPeerFailed(TimePoint now);
-  void WaitForTable(TimePoint now);
+  void ScheduleTableRead(TimePoint now);
   std::optional<Endpoint> PickSource();
 
-  // The answer to a watch comes with the change, and an idle watcher asks once
-  // in kWatchTime.
+  // Called for each table response. A watch is answered when a change happens,
+  // and an idle watcher gets one response per kWatchTime.
   void RecordTableState(TimePoint now, bool is_available);
   void StartWatch(TimePoint now);
   void ResumeWatching(TimePoint now);
@@ -187,30 +197,30 @@
   std::size_t m_member_count = 1;
   std::unordered_map<Endpoint, Peer> m_peers;
   TimePoint m_next_poll;
-  // The mean that m_next_poll was drawn from; 0 before the first draw.
+  // The mean interval that m_next_poll was drawn with; 0 before the first draw.
   Duration m_poll_interval{};
   TimePoint m_next_pulse;
-  // Pulses are more frequent until then.
-  TimePoint m_spreading_until;
+  // Pulses use fast_pulse_period until then.
+  TimePoint m_fast_pulses_until;
 
   FetchState m_fetch_state = FetchState::kIdle;
-  // When kPeerDelay, kPeerAsked and kTableDelay end.
+  // The deadline of kPeerDelay, kPeerAsked and kTableDelay.
   TimePoint m_fetch_at;
-  // The newest revision heard of.
+  // The newest revision that any peer has reported.
   Revision m_target;
   std::optional<Endpoint> m_source;
-  Endpoint m_asked;
-  // Set exactly in kPeerAsked.
+  Endpoint m_asked_peer;
+  // Set if and only if m_fetch_state is kPeerAsked.
   std::optional<ConfigDownload> m_download;
   std::uint32_t m_peer_attempts = 0;
-  // When this fetch may turn to the table; drawn once, so that hearing of
-  // more peers does not put it off.
+  // When this fetch may read the table. Drawn once per fetch, so that reports
+  // from further peers do not postpone it.
   std::optional<TimePoint> m_table_at;
   std::uint32_t m_table_failures = 0;
 
   bool m_is_on_duty = false;
   bool m_is_watching = false;
-  // The last answer of the table made sense.
+  // The last response of the table was valid.
   bool m_is_table_available = true;
   TimePoint m_read_started;
   std::optional<TimePoint> m_confirmed_at;
--- a/source/core/contracts/config_table_reader.cc
+++ b/source/core/contracts/config_table_reader.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Rounds are repeated only when a change is committed during one.
+// A round is repeated only if a change was committed during it.
 constexpr std::uint32_t kMaxRounds = 8;
 
 }  // namespace
@@ -46,7 +46,8 @@
     m_record = std::move(*record);
   }
   if (m_record.revision.value() < m_since.value()) {
-    // Somebody restored or emptied the table. The node stays where it is.
+    // The table was restored from a backup or emptied. The node keeps its
+    // configuration.
     LogLine(LogLevel::kError, "config.table_went_back")
         .Add("table_revision", m_record.revision)
         .Add("revision", m_since);
@@ -72,10 +73,10 @@
     if (change.revision.value() <= m_complete_to.value())
       continue;
     const auto row = m_rows.find(change.workspace);
-    const bool is_there = row != m_rows.end() && row->second.revision.value() >=
-                                                     change.revision.value();
-    if (!is_there && std::find(missing.begin(), missing.end(),
-                               change.workspace) == missing.end())
+    const bool is_read = row != m_rows.end() && row->second.revision.value() >=
+                                                    change.revision.value();
+    if (!is_read && std::find(missing.begin(), missing.end(),
+                              change.workspace) == missing.end())
       missing.push_back(change.workspace);
   }
   return missing;
@@ -112,13 +113,14 @@
 
 void ConfigTableReader::FinishRound(TimePoint now) {
   m_complete_to = m_record.revision;
-  const bool is_newer_seen =
+  const bool has_newer_row =
       std::any_of(m_rows.begin(), m_rows.end(), [this](const auto& row) {
         return row.second.revision.value() > m_record.revision.value();
       });
-  // With a newer row the batch would mix two configurations: that row hides
-  // its version of m_complete_to, and other rows of its revision are missing.
-  if (is_newer_seen)
+  // With a newer row the batch would mix two configurations: the row as of
+  // m_complete_to is overwritten, and other rows of the newer revision are
+  // missing.
+  if (has_newer_row)
     return ReadRevision();
   Finish(now, {true, MakeBatch()});
 }
--- a/source/core/contracts/config_table_reader.h
+++ b/source/core/contracts/config_table_reader.h
@@ -1,5 +1,5 @@
-// Reads from the table what leads on from a configuration in force, as one
-// consistent batch, although the table hands out one row at a time.
+// Reads the changes after the configuration in force from the table as one
+// consistent batch, although the table returns one row at a time.
 
 #ifndef BULRUSHMOUNT_CORE_CONTRACTS_CONFIG_TABLE_READER_H_
 #define BULRUSHMOUNT_CORE_CONTRACTS_CONFIG_TABLE_READER_H_
@@ -18,16 +18,17 @@
 
 namespace bulrushmount {
 
-// Contracts that are read one by one; for more of them one scan is made, so
-// that a fleet's reads stay bounded whatever has changed.
+// Up to this many changed contracts are read one by one; for more, one scan is
+// made. This bounds the fleet's reads whatever has changed.
 inline constexpr std::size_t kMaxSingleReads = 2;
 
-// When nothing is newer it costs one read; else one for each changed contract
-// more, or a scan where many changed. A change that is committed in the middle
-// is noticed by its revision, and the read goes on to that one.
+// Costs one read if nothing has changed; otherwise one further read per changed
+// contract, or one scan if many have changed. A change that is committed during
+// the read is detected by its revision, and the read continues up to that
+// revision.
 class ConfigTableReader : public ConfigReader {
  public:
-  // `table` must outlive the object, and the object its requests.
+  // `table` must outlive the object, and the object must outlive its requests.
   explicit ConfigTableReader(TableService& table) : m_table(table) {}
 
   ConfigTableReader(const ConfigTableReader&) = delete;
@@ -39,8 +40,8 @@
  private:
   void ReadRevision();
   void OnRevisionRow(TimePoint now, const TableReply& reply);
-  // What the log says has changed and is not in m_rows yet; empty if the log
-  // does not reach back far enough.
+  // Workspaces that have changed according to the log and are not in m_rows
+  // yet; empty if the log does not reach back far enough.
   std::optional<std::vector<WorkspaceName>> MissingRows() const;
   void ScanRows();
   void ReadNextRow(TimePoint now);
@@ -52,11 +53,11 @@
   TableService& m_table;
   Callback m_done;
   Revision m_since;
-  // m_rows holds every contract whose last change lies in (m_since,
-  // m_complete_to], and perhaps newer ones.
+  // m_rows holds every contract whose last change is in (m_since,
+  // m_complete_to], and possibly newer ones.
   Revision m_complete_to;
   std::unordered_map<WorkspaceName, ConfigChange> m_rows;
-  // As read at the start of the round; all rows of the round are read later.
+  // Read at the start of the round, before all rows of the round.
   RevisionRecord m_record;
   std::vector<WorkspaceName> m_to_read;
   std::uint32_t m_rounds = 0;
--- a/source/core/contracts/config_transfer.cc
+++ b/source/core/contracts/config_transfer.cc
@@ -26,17 +26,18 @@
   if (request.since.value() >= m_store.revision().value())
     return;
   Prepare(request.since);
-  const bool goes_on = request.to == m_to && request.digest == m_digest;
-  std::vector<std::uint32_t> wanted;
-  if (goes_on)
-    wanted = request.missing;
-  if (wanted.empty()) {
+  const bool continues_transfer =
+      request.to == m_to && request.digest == m_digest;
+  std::vector<std::uint32_t> requested;
+  if (continues_transfer)
+    requested = request.missing;
+  if (requested.empty()) {
     for (std::uint32_t index = 0; index < ChunkCount(); ++index)
-      wanted.push_back(index);
+      requested.push_back(index);
   }
-  if (wanted.size() > kMaxChunksPerRequest)
-    wanted.resize(kMaxChunksPerRequest);
-  for (const std::uint32_t index : wanted) {
+  if (requested.size() > kMaxChunksPerRequest)
+    requested.resize(kMaxChunksPerRequest);
+  for (const std::uint32_t index : requested) {
     if (index >= ChunkCount() || !TakeCredit(now))
       return;
     SendChunk(from, index);
@@ -97,8 +98,8 @@
     return ChunkResult::kTooLarge;
   const bool is_same = chunk.to == m_to && chunk.digest == m_digest &&
                        chunk.count == m_chunks.size();
-  // The peer has gone on to a newer revision: so does the transfer. A late
-  // chunk of an older one is dropped.
+  // If the peer has moved on to a newer revision, the transfer restarts with
+  // it. A late chunk of an older revision is dropped.
   if (!is_same && !Begin(chunk))
     return ChunkResult::kIgnored;
   if (chunk.index >= m_chunks.size() || m_chunks[chunk.index].has_value())
--- a/source/core/contracts/config_transfer.h
+++ b/source/core/contracts/config_transfer.h
@@ -1,5 +1,5 @@
-// Sends a batch from node to node in datagrams: the serving side and the
-// receiving side of one transfer.
+// Transfers a batch between nodes in datagrams: the uploading and the
+// downloading side.
 
 #ifndef BULRUSHMOUNT_CORE_CONTRACTS_CONFIG_TRANSFER_H_
 #define BULRUSHMOUNT_CORE_CONTRACTS_CONFIG_TRANSFER_H_
@@ -18,23 +18,24 @@
 namespace bulrushmount {
 
 inline constexpr std::size_t kChunkBytes = 1100;
-// A larger batch is taken from the table.
+// A batch with more chunks is read from the table instead.
 inline constexpr std::uint32_t kMaxChunks = 512;
-// What one request may ask for: it keeps below a socket's receive buffer.
+// Maximum number of chunks per request, so that the response fits in a socket's
+// receive buffer.
 inline constexpr std::uint32_t kMaxChunksPerRequest = 32;
 
-// Answers requests out of the store, below a rate of its own, so that a fleet
-// that asks one node at once cannot keep it from its calls.
+// Answers requests from the store, within its own rate limit, so that a whole
+// fleet that asks one node at once does not slow down its calls.
 class ConfigUploader {
  public:
-  // Chunks a second, and at once.
+  // Chunks per second, and chunks in one burst.
   static constexpr double kRate = 200;
   static constexpr double kBurst = 400;
 
-  // Both must outlive the object.
+  // `store` and `port` must outlive the object.
   ConfigUploader(const ContractStore& store, DatagramPort& port);
 
-  // Drops what is over the rate: the other side asks again, or elsewhere.
+  // Drops requests beyond the rate; the requester retries here or elsewhere.
   void OnRequest(TimePoint now,
                  const Endpoint& from,
                  const BatchRequest& request);
@@ -47,7 +48,7 @@
 
   const ContractStore& m_store;
   DatagramPort& m_port;
-  // The batch that was asked for last, encoded.
+  // The encoded batch of the last request.
   Revision m_since;
   Revision m_to;
   std::string m_bytes;
@@ -58,37 +59,37 @@
 };
 
 enum class ChunkResult : std::uint8_t {
-  // Not of this transfer, or known already.
+  // Not part of this transfer, or already received.
   kIgnored,
   kAccepted,
-  // All that the last request asked for is here, but not the whole batch.
+  // All chunks of the last request have arrived, but not the whole batch.
   kWindowComplete,
   kComplete,
-  // The batch has to come from the table.
+  // The batch must be read from the table.
   kTooLarge,
 };
 
-// Puts one batch together from the chunks of one peer.
+// Assembles one batch from the chunks of one peer.
 class ConfigDownload {
  public:
   explicit ConfigDownload(Revision since) : m_since(since) {}
 
-  // Asks for the first chunks that are missing.
+  // Requests the first chunks that are missing.
   BatchRequest MakeRequest();
   ChunkResult OnChunk(const BatchChunk& chunk);
-  // Once complete; empty if the bytes make no batch.
+  // Call once complete. Empty if the bytes are not a valid batch.
   std::optional<ConfigBatch> Decode() const;
 
  private:
   bool Begin(const BatchChunk& chunk);
 
   const Revision m_since;
-  // 0 until the first chunk has come.
+  // 0 until the first chunk has arrived.
   Revision m_to;
   std::uint64_t m_digest = 0;
   std::vector<std::optional<std::string>> m_chunks;
   std::size_t m_missing = 0;
-  // Chunks of the last request that are still to come.
+  // Number of chunks of the last request that have not arrived yet.
   std::size_t m_awaited = kMaxChunksPerRequest;
 };
 
--- a/source/core/contracts/config_types.h
+++ b/source/core/contracts/config_types.h
@@ -1,4 +1,5 @@
-// The values that the configuration is made of, wherever it is kept or sent.
+// Value types of the configuration, as stored in the table and sent between
+// nodes.
 
 #ifndef BULRUSHMOUNT_CORE_CONTRACTS_CONFIG_TYPES_H_
 #define BULRUSHMOUNT_CORE_CONTRACTS_CONFIG_TYPES_H_
@@ -12,31 +13,34 @@
 
 namespace bulrushmount {
 
-// Drawn at random for each change, so that whoever lost the table's answer can
-// find out by reading whether the change took effect.
+// Random id of each change. A writer that did not receive the table's response
+// can read the table and look for the id to find out whether the change took
+// effect.
 using ChangeId = StrongType<struct ChangeIdTag, std::uint64_t>;
 
-// One accepted change of one contract. Exactly one change has a revision.
+// One accepted change of one contract. Each revision belongs to exactly one
+// change.
 struct ConfigChange {
   WorkspaceName workspace;
   Revision revision;
   ChangeId change_id;
-  // A tombstone, kept for ever: it stops an older version from returning.
+  // A tombstone, kept for ever so that an older version cannot reappear.
   bool is_withdrawn = false;
-  // As written by the operator; empty in a tombstone. Text rather than a
-  // model, so that a node passes on what only a newer release understands.
+  // The text written by the operator; empty in a tombstone. Kept as text and
+  // not as a parsed contract, so that a node passes on fields that only a newer
+  // release understands.
   std::string yaml;
 
   friend bool operator==(const ConfigChange&, const ConfigChange&) = default;
 };
 
-// What leads from the configuration `since` to the configuration `to`: the
-// last change of every contract that changed in between. With `since` 0 it is
-// the whole configuration.
+// The changes from configuration `since` to configuration `to`: the last change
+// of every contract that changed in between. With `since` 0 it is the whole
+// configuration.
 struct ConfigBatch {
   Revision since;
   Revision to;
-  // In rising order of revision, one a workspace, all in (since, to].
+  // In ascending order of revision, one per workspace, all in (since, to].
   std::vector<ConfigChange> changes;
 
   friend bool operator==(const ConfigBatch&, const ConfigBatch&) = default;
@@ -50,11 +54,11 @@
   friend bool operator==(const LoggedChange&, const LoggedChange&) = default;
 };
 
-// The row that orders all changes.
+// The row that defines the order of all changes.
 struct RevisionRecord {
   Revision revision;
-  // The newest changes in rising order, without a gap, up to `revision`: at
-  // most kMaxLoggedChanges, so a node that was away for longer scans.
+  // The newest changes in ascending order, without a gap, up to `revision`. At
+  // most kMaxLoggedChanges, so a node that missed more changes needs a scan.
   std::vector<LoggedChange> recent;
 
   friend bool operator==(const RevisionRecord&,
@@ -63,8 +67,8 @@
 
 inline constexpr std::size_t kMaxLoggedChanges = 64;
 
-// Stands in place of a workspace for the operator's routing document. No
-// workspace's name holds a '/'.
+// Used instead of a workspace name for the operator's routing document.
+// Workspace names cannot contain '/'.
 inline constexpr char kRouteDocument[] = "operator/document";
 
 }  // namespace bulrushmount
--- a/source/core/contracts/contract.h
+++ b/source/core/contracts/contract.h
@@ -1,6 +1,6 @@
-// The contract model: what an operator promises one workspace, and what every
-// limit on that workspace's traffic follows from. The measuring budget and the
-// evacuated availability zones are contracts too.
+// The contract model: the terms that an operator grants one workspace, from
+// which all limits on its traffic follow. The measuring budget and the
+// evacuated availability zones are stored as contracts too.
 
 #ifndef BULRUSHMOUNT_CORE_CONTRACTS_CONTRACT_H_
 #define BULRUSHMOUNT_CORE_CONTRACTS_CONTRACT_H_
@@ -21,7 +21,7 @@
 // The workspace whose contract lists the evacuated availability zones.
 inline constexpr char kEvacuationWorkspace[] = "evacuation";
 
-// "99 % within 50 ms".
+// For example "99 % within 50 ms".
 struct LatencyObjective {
   // In (0, 1).
   double fraction = 0.99;
@@ -33,16 +33,16 @@
 
 enum class KeyPolicy : std::uint8_t { kRequired, kOptional };
 
-// One kind of request to one service. The first kind of a service whose method
-// and path prefix match decides.
+// One kind of request to one service. A request belongs to the first kind of
+// the service whose method and path prefix match.
 struct KindTerms {
   KindName name;
   // Upper case; "*" matches every method.
   std::string method;
   std::string path_prefix;
-  // Whether running it twice does no harm.
+  // Whether the request may be executed twice without harm.
   bool is_repeatable = false;
-  // Only of meaning when the kind is not repeatable.
+  // Only meaningful if the kind is not repeatable.
   KeyPolicy key_policy = KeyPolicy::kRequired;
   // Units that one request takes from the workspace's limits.
   double weight = 1.0;
@@ -60,11 +60,11 @@
   friend bool operator==(const ServiceTerms&, const ServiceTerms&) = default;
 };
 
-// Over all entries together.
+// Limits of a workspace over all entries together.
 struct WorkspaceLimits {
-  // Weighted units a second.
+  // Weighted units per second.
   double units_per_second = 0;
-  // Weighted units that may come at once.
+  // Weighted units that may arrive in one burst.
   double burst_units = 0;
   std::uint32_t in_flight = 0;
 
@@ -75,16 +75,16 @@
 struct WorkspaceTerms {
   std::vector<ServiceTerms> services;
   WorkspaceLimits limits;
-  // Weight against other workspaces when a target has a queue.
+  // Weight relative to other workspaces when requests queue for a target.
   double share = 1.0;
-  // How long the outcome of a keyed request is kept.
+  // How long the outcome of a request with an idempotency key is kept.
   Duration key_retention{};
 
   friend bool operator==(const WorkspaceTerms&,
                          const WorkspaceTerms&) = default;
 };
 
-// The most that measuring a service may cost, over the whole fleet.
+// Upper bound of the probe traffic for one service over the whole fleet.
 struct ServiceMeasuringBudget {
   ServiceName service;
   double probes_per_second = 0;
@@ -110,8 +110,8 @@
 
 struct Contract {
   WorkspaceName workspace;
-  // MeasuringTerms exactly if `workspace` is kMeasurementWorkspace, and
-  // EvacuationTerms exactly if it is kEvacuationWorkspace.
+  // MeasuringTerms if and only if `workspace` is kMeasurementWorkspace, and
+  // EvacuationTerms if and only if it is kEvacuationWorkspace.
   std::variant<WorkspaceTerms, MeasuringTerms, EvacuationTerms> terms;
 
   friend bool operator==(const Contract&, const Contract&) = default;
--- a/source/core/contracts/contract_change.cc
+++ b/source/core/contracts/contract_change.cc
@@ -19,8 +19,8 @@
   return found == record.recent.end() ? nullptr : &*found;
 }
 
-// Whether the log would show a change that made `revision`.
-bool Covers(const RevisionRecord& record, Revision revision) {
+// Whether the log would contain a change that created `revision`.
+bool LogCovers(const RevisionRecord& record, Revision revision) {
   if (record.revision.value() < revision.value())
     return true;
   return !record.recent.empty() &&
@@ -95,8 +95,8 @@
     if (!m_rows.contract.has_value())
       return OnReadFailed(now);
   }
-  // The revision row is read last: its log then shows every change that the
-  // contract's row shows.
+  // The revision row is read last, so that its log contains every change that
+  // the contract's row reflects.
   m_table.Submit(
       TableGet{kRevisionRowKey},
       [self = shared_from_this()](TimePoint now, const TableReply& reply) {
@@ -121,7 +121,7 @@
 }
 
 void ContractChange::Decide(TimePoint now) {
-  if (!ResolveEarlier(now) || !IsVersionRight(now))
+  if (!ResolveEarlier(now) || !CheckVersion(now))
     return;
   if (now >= m_limit)
     return Finish(now, ChangeStatus::kNotWritten, kNoRow);
@@ -140,7 +140,7 @@
     FinishCommitted(now, is_in_row ? m_rows.contract_version : kNoRow);
     return false;
   }
-  if (m_is_unresolved && !Covers(m_rows.record, m_change.revision)) {
+  if (m_is_unresolved && !LogCovers(m_rows.record, m_change.revision)) {
     Finish(now, ChangeStatus::kUnknown, kNoRow);
     return false;
   }
@@ -148,7 +148,7 @@
   return true;
 }
 
-bool ContractChange::IsVersionRight(TimePoint now) {
+bool ContractChange::CheckVersion(TimePoint now) {
   const bool exists =
       m_rows.contract.has_value() && !m_rows.contract->is_withdrawn;
   const RowVersion current = exists ? m_rows.contract_version : kNoRow;
@@ -193,8 +193,8 @@
       return FinishCommitted(
           now, VersionOf(reply.rows, ContractRowKey(m_change.workspace)));
     case TableStatus::kConditionFailed:
-      // Another change came first, or an earlier submission of this one did:
-      // the log tells which.
+      // Another change was committed first, or an earlier submission of this
+      // one: the log shows which.
       return ReadRows();
     case TableStatus::kUnknown:
       m_is_unresolved = true;
--- a/source/core/contracts/contract_change.h
+++ b/source/core/contracts/contract_change.h
@@ -1,5 +1,5 @@
-// One operator's change on its way into the table, from its check against the
-// current version to a certain outcome.
+// Writes one operator's change to the table: checks it against the current
+// version, submits it and resolves lost responses until the outcome is certain.
 
 #ifndef BULRUSHMOUNT_CORE_CONTRACTS_CONTRACT_CHANGE_H_
 #define BULRUSHMOUNT_CORE_CONTRACTS_CONTRACT_CHANGE_H_
@@ -19,43 +19,46 @@
 namespace bulrushmount {
 
 struct ContractWriterSettings {
-  // From the request until a change that is not resolved is given up.
+  // Time from the request until a change without a certain outcome is given up.
   Duration resolve_limit = std::chrono::seconds(5);
-  // Mean time between two tries to resolve a lost answer.
+  // Mean time between two attempts to resolve a lost response.
   Duration retry_delay = std::chrono::milliseconds(150);
-  // Changes that one node has in progress; more are refused.
+  // Maximum number of changes in progress on one node; further ones are
+  // refused.
   std::size_t max_changes = 64;
 };
 
 enum class ChangeStatus : std::uint8_t {
   kCommitted,
-  // The contract has another version than the operator believed.
+  // The contract has another version than the operator's request expects.
   kVersionMismatch,
   // There is no contract to withdraw.
   kNotFound,
-  // The store is down or contended; certainly not written.
+  // The store is unavailable or contended; certainly not written.
   kNotWritten,
-  // The answer was lost, and reading back did not tell in time.
+  // The response was lost, and reading back did not determine the outcome in
+  // time.
   kUnknown,
 };
 
-// For logs.
+// The status's name in logs.
 std::string_view ToToken(ChangeStatus status);
 
 struct ChangeOutcome {
   ChangeStatus status = ChangeStatus::kUnknown;
-  // With kCommitted the version written, or kNoRow if another change came on
-  // top of it. With kVersionMismatch the current one, kNoRow if there is none.
+  // With kCommitted the version written, or kNoRow if a later change has
+  // already replaced it. With kVersionMismatch the current version, kNoRow if
+  // there is none.
   RowVersion version;
-  // With kCommitted: what was written, with its revision.
+  // With kCommitted: the written change, including its revision.
   ConfigChange change;
 };
 
-// The transaction writes the contract's row and the revision row under the
-// versions that both were read with. So at most one submission of it can take
-// effect, however often it is sent and however late it arrives: that is what
-// makes it safe to send it again after a lost answer. Once a condition has
-// failed, it can never take effect any more.
+// The transaction writes the contract's row and the revision row on condition
+// that both still have the versions that were read. So at most one submission
+// of it can take effect, however often it is sent and however late it arrives,
+// and it can safely be sent again after a lost response. Once a condition has
+// failed, the transaction can never take effect.
 class ContractChange : public std::enable_shared_from_this<ContractChange> {
  public:
   using Callback = std::function<void(TimePoint now, ChangeOutcome outcome)>;
@@ -72,12 +75,12 @@
   void Start(TimePoint now, Callback done);
 
   void OnTimer(TimePoint now);
-  // Empty while a reply of the table is awaited.
+  // Empty while waiting for a reply of the table.
   std::optional<TimePoint> wakeup() const { return m_wakeup; }
   bool is_done() const { return m_is_done; }
 
  private:
-  // What the last reads found.
+  // The rows as last read.
   struct CurrentRows {
     // Empty if there is no row.
     std::optional<ConfigChange> contract;
@@ -90,16 +93,16 @@
   void OnContractRow(TimePoint now, const TableReply& reply);
   void OnRevisionRow(TimePoint now, const TableReply& reply);
   void Decide(TimePoint now);
-  // Whether the earlier submission is known to have had no effect, or the
-  // outcome has been told.
+  // Returns true if an earlier submission certainly had no effect; otherwise
+  // finishes the change and returns false.
   bool ResolveEarlier(TimePoint now);
-  bool IsVersionRight(TimePoint now);
+  bool CheckVersion(TimePoint now);
   void BuildTransaction();
   void SubmitTransaction();
   void OnTransactionReply(TimePoint now, const TableReply& reply);
 
   void OnReadFailed(TimePoint now);
-  // Goes on with `step` after a delay, or gives up past the limit.
+  // Continues with `step` after a delay, or gives up past the limit.
   void RetryLater(TimePoint now, void (ContractChange::*step)());
   void FinishCommitted(TimePoint now, RowVersion version);
   void Finish(TimePoint now, ChangeStatus status, RowVersion version);
@@ -107,7 +110,7 @@
   const ContractWriterSettings m_settings;
   TableService& m_table;
   RandomSource& m_random;
-  // Its revision is that of the newest transaction built.
+  // Its revision is the one of the transaction built last.
   ConfigChange m_change;
   const RowVersion m_if_version;
   Callback m_done;
@@ -115,9 +118,9 @@
 
   CurrentRows m_rows;
   TableTransact m_transaction;
-  // A submission of m_transaction had no clear answer, so it may have taken
-  // effect or may still do so. While true, no outcome but kCommitted and
-  // kUnknown may be told.
+  // A submission of m_transaction had no clear response, so it may have taken
+  // effect or may still do so. While true, only kCommitted and kUnknown may be
+  // reported.
   bool m_is_unresolved = false;
 
   std::optional<TimePoint> m_wakeup;
--- a/source/core/contracts/contract_store.cc
+++ b/source/core/contracts/contract_store.cc
@@ -28,14 +28,14 @@
 ApplyResult ContractStore::Apply(TimePoint now, const ConfigBatch& batch) {
   if (batch.to.value() <= m_revision.value())
     return ApplyResult::kStale;
-  // With a gap, a contract that changed in between would stay at its old
-  // version for ever, since nobody would send it again.
+  // With a gap, a contract that changed in between would keep its old version
+  // for ever, since no later batch contains that change.
   if (batch.since.value() > m_revision.value())
     return ApplyResult::kGap;
 
   std::vector<WorkspaceName> changed;
   for (const ConfigChange& change : batch.changes) {
-    // What the batch repeats is in force already.
+    // This change is already in force.
     if (change.revision.value() <= m_revision.value())
       continue;
     m_entries[change.workspace] = MakeEntry(change);
@@ -117,8 +117,8 @@
   ContractOrFaults parsed = TryParseContract(change.yaml);
   if (!parsed.contract.has_value() ||
       parsed.contract->workspace != change.workspace) {
-    // Written through a node of a newer release. Its requests are refused
-    // rather than run under terms that nobody agreed to.
+    // Written through a node of a newer release. Requests of the workspace are
+    // refused instead of being run under wrong terms.
     LogLine(LogLevel::kError, "contract.unreadable")
         .Add("workspace", change.workspace)
         .Add("revision", change.revision)
--- a/source/core/contracts/contract_store.h
+++ b/source/core/contracts/contract_store.h
@@ -1,5 +1,6 @@
-// The configuration that a node has in force. It only goes forward: a batch is
-// applied whole or not at all, and only if it leads on from what is in force.
+// The configuration in force at a node. Its revision never decreases: a batch
+// is applied as a whole or not at all, and only if it continues from the
+// configuration in force.
 
 #ifndef BULRUSHMOUNT_CORE_CONTRACTS_CONTRACT_STORE_H_
 #define BULRUSHMOUNT_CORE_CONTRACTS_CONTRACT_STORE_H_
@@ -24,30 +25,30 @@
  public:
   virtual ~ContractListener() = default;
 
-  // Called when the whole batch is in force. `contract` is null when it is
-  // withdrawn, or when this release cannot read it.
+  // Called after the whole batch has been applied. `contract` is null if it was
+  // withdrawn or if this release cannot parse it.
   virtual void OnContractChanged(TimePoint now,
                                  const WorkspaceName& workspace,
                                  const Contract* contract) = 0;
 };
 
-// What a request is under its workspace's contract. The pointers hold until the
-// next Apply; a call that lives longer copies what it needs.
+// The kind of a request under its workspace's contract. The pointers are valid
+// until the next Apply; a call that outlives it copies what it needs.
 struct MatchedKind {
   const WorkspaceTerms* terms = nullptr;
   const KindTerms* kind = nullptr;
 };
 
-// Reasons: kUnknownWorkspace, kUnknownService, kUnknownKind, and
-// kConfigurationUnknown when no configuration is known yet or this release
-// cannot read the contract.
+// Possible reasons: kUnknownWorkspace, kUnknownService, kUnknownKind, and
+// kConfigurationUnknown if no configuration is known yet or this release cannot
+// parse the contract.
 using KindMatchResult = std::variant<MatchedKind, Reason>;
 
 enum class ApplyResult : std::uint8_t {
   kApplied,
-  // Nothing newer than what is in force.
+  // The batch is not newer than the configuration in force.
   kStale,
-  // It starts from a configuration that is not in force here yet.
+  // The batch starts from a configuration newer than the one in force.
   kGap,
 };
 
@@ -63,18 +64,19 @@
 
   ApplyResult Apply(TimePoint now, const ConfigBatch& batch);
 
-  // The table has been read and holds no configuration yet.
+  // The table has been read and contains no configuration yet.
   void SetKnownEmpty() { m_is_known = true; }
 
-  // Whether a configuration is in force, be it an empty one.
+  // Whether a configuration is in force, possibly an empty one.
   bool is_known() const { return m_is_known; }
   Revision revision() const { return m_revision; }
 
-  // Null if there is none, if it is withdrawn or cannot be read.
+  // Null if there is no contract, or if it is withdrawn or cannot be parsed.
   const Contract* Find(const WorkspaceName& workspace) const;
 
-  // For each request: two hash look-ups and a walk of the service's kinds.
-  // `target` is the path, and whatever follows in the request line's target.
+  // Called for each request; costs two hash look-ups and a linear search of the
+  // service's kinds. `target` is the target of the request line: the path,
+  // optionally with a query.
   KindMatchResult MatchKind(const WorkspaceName& workspace,
                             const ServiceName& service,
                             std::string_view method,
@@ -83,17 +85,17 @@
   // The operator's routing document in force; null if there is none.
   const std::string* RouteDocumentText() const;
 
-  // What leads from `since` to the configuration in force, tombstones
-  // included.
+  // The changes from `since` to the configuration in force, including
+  // tombstones.
   ConfigBatch ChangesSince(Revision since) const;
 
-  // All contracts that can be read, in order of workspace.
+  // All contracts that can be parsed, in order of workspace.
   std::vector<const Contract*> Contracts() const;
 
  private:
   struct Entry {
     ConfigChange change;
-    // Null in a tombstone and for a text that cannot be read.
+    // Null in a tombstone and for a text that cannot be parsed.
     std::unique_ptr<const Contract> contract;
     // Points into `contract`.
     std::unordered_map<ServiceName, const ServiceTerms*> services;
@@ -102,9 +104,10 @@
   static Entry MakeEntry(const ConfigChange& change);
   void Notify(TimePoint now, const std::vector<WorkspaceName>& workspaces);
 
-  // Every entry's revision is at most m_revision, and no two are the same.
+  // Invariant: every entry's revision is at most m_revision, and all are
+  // distinct.
   std::unordered_map<WorkspaceName, Entry> m_entries;
-  // Never falls.
+  // Never decreases.
   Revision m_revision;
   // True whenever m_revision is above 0.
   bool m_is_known = false;
--- a/source/core/contracts/contract_writer.cc
+++ b/source/core/contracts/contract_writer.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Everything that is wrong with the request, so that it all is told at once.
+// All faults of the request, so that the operator sees them at once.
 YamlFaults FaultsOf(const OperatorRequested& request) {
   ContractOrFaults parsed = TryParseContract(request.body);
   if (parsed.contract.has_value() &&
@@ -55,11 +55,12 @@
 }
 
 void ContractWriter::OnTimer(TimePoint now) {
-  // A copy, since a change that ends may start another through its callback.
+  // Iterates over a copy, as a change that finishes may start another one
+  // through its callback.
   const std::vector<std::shared_ptr<ContractChange>> changes = m_changes;
   for (const std::shared_ptr<ContractChange>& change : changes)
     change->OnTimer(now);
-  ForgetDone();
+  RemoveFinishedChanges();
 }
 
 TimePoint ContractWriter::NextWakeup() const {
@@ -113,7 +114,7 @@
                                  ConfigChange draft,
                                  const OperatorRequested& request,
                                  AnswerCallback answer) {
-  ForgetDone();
+  RemoveFinishedChanges();
   if (m_changes.size() >= m_settings.max_changes)
     return answer(now, AnswerToOverload(request.request));
   draft.change_id = ChangeId(m_random.NextBits());
@@ -128,7 +129,7 @@
   });
 }
 
-void ContractWriter::ForgetDone() {
+void ContractWriter::RemoveFinishedChanges() {
   std::erase_if(m_changes, [](const std::shared_ptr<ContractChange>& change) {
     return change->is_done();
   });
--- a/source/core/contracts/contract_writer.h
+++ b/source/core/contracts/contract_writer.h
@@ -1,4 +1,4 @@
-// Operators' requests about contracts, answered from the table: write, show,
+// Handles operators' requests about contracts against the table: write, show,
 // list and withdraw.
 
 #ifndef BULRUSHMOUNT_CORE_CONTRACTS_CONTRACT_WRITER_H_
@@ -17,18 +17,20 @@
 
 namespace bulrushmount {
 
-// HTTP statuses: 200 done, 400 faults in the text (all of them), 404 no such
-// contract, 412 another version (with the current one), 503 store down or
-// contended and certainly not written, 504 unknown: read back with show.
-// Bodies are JSON, but for the contract that show returns as it was written.
+// HTTP statuses: 200 done; 400 faults in the text (all are listed); 404 no such
+// contract; 412 version mismatch (with the current version); 503 store
+// unavailable or contended, certainly not written; 504 outcome unknown, read
+// back with show. Bodies are JSON, except that show returns the contract as it
+// was written.
 class ContractWriter {
  public:
   using AnswerCallback = std::function<void(TimePoint, AnswerOperator)>;
-  // A change of this node has been committed; called before its answer.
+  // Called when a change written through this node is committed, before its
+  // answer.
   using CommitCallback = std::function<void(TimePoint, const ConfigChange&)>;
 
-  // `table` and `random` must outlive the object, and it must outlive its
-  // requests.
+  // `table` and `random` must outlive the object, and the object must outlive
+  // its requests.
   ContractWriter(const ContractWriterSettings& settings,
                  TableService& table,
                  RandomSource& random,
@@ -37,13 +39,13 @@
   ContractWriter(const ContractWriter&) = delete;
   ContractWriter& operator=(const ContractWriter&) = delete;
 
-  // Calls `answer` exactly once, perhaps before it returns.
+  // Calls `answer` exactly once, possibly before it returns.
   void Handle(TimePoint now,
               const OperatorRequested& request,
               AnswerCallback answer);
 
   void OnTimer(TimePoint now);
-  // TimePoint::max() if nothing waits for a time.
+  // TimePoint::max() if no timer is pending.
   TimePoint NextWakeup() const;
 
  private:
@@ -59,7 +61,7 @@
                    ConfigChange draft,
                    const OperatorRequested& request,
                    AnswerCallback answer);
-  void ForgetDone();
+  void RemoveFinishedChanges();
 
   const ContractWriterSettings m_settings;
   TableService& m_table;
--- a/source/core/contracts/contract_yaml.cc
+++ b/source/core/contracts/contract_yaml.cc
@@ -22,7 +22,7 @@
 constexpr NumberRange kFractionRange{0, 1, true, true};
 constexpr NumberRange kPositiveRange{0, 1e9, true, false};
 constexpr std::uint32_t kMaxInFlight = 1'000'000;
-// The cost of a match grows with the kinds of a service.
+// The cost of matching a request is linear in the kinds of a service.
 constexpr std::size_t kMaxKinds = 64;
 constexpr std::size_t kMaxServices = 256;
 constexpr std::size_t kMaxPathPrefix = 256;
@@ -103,8 +103,8 @@
   return kind;
 }
 
-// Reports a kind that an earlier one of the service hides: no request could
-// ever match it, which the operator surely did not mean.
+// Reports a kind that an earlier kind of the service hides: no request could
+// ever match it, which is certainly a mistake.
 void CheckHiddenKind(const std::vector<KindTerms>& earlier,
                      const KindTerms& kind,
                      YamlPosition position,
@@ -176,7 +176,8 @@
   return limits;
 }
 
-// Reports a kind that could never run: it weighs more than the whole burst.
+// Reports a kind that could never be admitted because its weight exceeds the
+// burst.
 void CheckWeights(const WorkspaceTerms& terms,
                   YamlPosition position,
                   YamlFaults& faults) {
@@ -212,7 +213,7 @@
   YamlMapReader map(node, faults);
   budget.service =
       ServiceName(ReadName(map.Required("service"), faults).value_or(""));
-  // 0 is meant: no probes at all.
+  // 0 is allowed and means no probes at all.
   budget.probes_per_second =
       ReadNumber(map.Required("probes_per_second"), {0, 1e6}, faults)
           .value_or(0);
@@ -264,7 +265,7 @@
   return contract;
 }
 
-// Shortest text that reads back as the same number.
+// The shortest text that parses to the same number.
 std::string FormatNumber(double number) {
   return fmt::format("{}", number);
 }
--- a/source/core/contracts/contract_yaml.h
+++ b/source/core/contracts/contract_yaml.h
@@ -1,4 +1,4 @@
-// Contracts as operators write them: YAML to model and back.
+// Converts contracts between the YAML text that operators write and the model.
 
 #ifndef BULRUSHMOUNT_CORE_CONTRACTS_CONTRACT_YAML_H_
 #define BULRUSHMOUNT_CORE_CONTRACTS_CONTRACT_YAML_H_
@@ -13,16 +13,16 @@
 
 namespace bulrushmount {
 
-// Fails with a YamlFaults that lists every fault of the text.
+// On failure the error is a YamlFaults with every fault of the text.
 boost::leaf::result<Contract> ParseContract(std::string_view yaml);
 
-// Parses to an equal contract.
+// The text parses to an equal contract.
 std::string ToYaml(const Contract& contract);
 
-// The contract, or all the faults, as one value.
+// Either a contract or all faults of the text.
 struct ContractOrFaults {
   std::optional<Contract> contract;
-  // Empty exactly if there is a contract.
+  // Empty if and only if there is a contract.
   YamlFaults faults;
 };
 ContractOrFaults TryParseContract(std::string_view yaml);
--- a/source/core/contracts/operator_answers.h
+++ b/source/core/contracts/operator_answers.h
@@ -1,4 +1,4 @@
-// What operators are told, as HTTP status and body.
+// Builds the answers to operators: HTTP status and body.
 
 #ifndef BULRUSHMOUNT_CORE_CONTRACTS_OPERATOR_ANSWERS_H_
 #define BULRUSHMOUNT_CORE_CONTRACTS_OPERATOR_ANSWERS_H_
@@ -16,7 +16,7 @@
                               const ChangeOutcome& outcome);
 AnswerOperator AnswerToShow(OperatorRequestId request, const TableReply& reply);
 AnswerOperator AnswerToList(OperatorRequestId request, const TableReply& reply);
-// Too many changes are in progress.
+// Answer if too many changes are in progress.
 AnswerOperator AnswerToOverload(OperatorRequestId request);
 
 }  // namespace bulrushmount
--- a/source/core/contracts/operator_document_reader.cc
+++ b/source/core/contracts/operator_document_reader.cc
@@ -17,7 +17,7 @@
 
 constexpr std::string_view kZonePrefix = kEvacuationRowPrefix;
 
-// The newest state of the document's row; null if the rows do not have it.
+// The newest version of the document's row; null if `rows` does not contain it.
 const Row* FindDocument(const std::vector<Row>& rows) {
   const auto found =
       std::find_if(rows.rbegin(), rows.rend(), [](const Row& row) {
@@ -30,13 +30,13 @@
                                const std::vector<Row>& rows) {
   EvacuationRead read;
   read.as_of = as_of;
-  // The last change of a row is its state.
+  // The last change of a row determines its state.
   std::map<AvailabilityZone, ZoneEvacuation> zones;
   for (const Row& row : rows) {
     if (!row.key.starts_with(kZonePrefix))
       continue;
     const AvailabilityZone zone(row.key.substr(kZonePrefix.size()));
-    // A removed row may keep the version of its last write.
+    // The table may report a removed row with the version of its last write.
     const RowVersion version = row.is_removed ? as_of.version : row.version;
     zones[zone] = {zone, !row.is_removed, {as_of.epoch, version}};
   }
@@ -49,27 +49,28 @@
 
 void OperatorDocumentReader::Read(Revision since, Callback done) {
   m_is_reading = true;
-  m_table.Submit(
-      TableScan{kOperatorRowPrefix},
-      [this, since, done = std::move(done)](TimePoint now,
-                                            const TableReply& reply) {
-        m_is_reading = false;
-        ConfigReadResult result = Take(since, reply, /*is_complete=*/true);
-        result.is_unwritten = result.is_ok && !FindDocument(reply.rows);
-        done(now, std::move(result));
-      });
+  m_table.Submit(TableScan{kOperatorRowPrefix},
+                 [this, since, done = std::move(done)](
+                     TimePoint now, const TableReply& reply) {
+                   m_is_reading = false;
+                   ConfigReadResult result =
+                       ProcessReply(since, reply, /*is_complete=*/true);
+                   result.is_unwritten =
+                       result.is_ok && !FindDocument(reply.rows);
+                   done(now, std::move(result));
+                 });
 }
 
 void OperatorDocumentReader::Watch(Revision since, const Callback& done) {
   m_table.Submit(TableWatch{kOperatorRowPrefix, m_seen.version, kWatchTime},
                  [this, since, done](TimePoint now, const TableReply& reply) {
-                   done(now, Take(since, reply, /*is_complete=*/false));
+                   done(now, ProcessReply(since, reply, /*is_complete=*/false));
                  });
 }
 
-ConfigReadResult OperatorDocumentReader::Take(Revision since,
-                                              const TableReply& reply,
-                                              bool is_complete) {
+ConfigReadResult OperatorDocumentReader::ProcessReply(Revision since,
+                                                      const TableReply& reply,
+                                                      bool is_complete) {
   if (reply.status != TableStatus::kOk)
     return {};
   if (reply.epoch < m_seen.epoch) {
@@ -78,8 +79,8 @@
         .Add("known_epoch", m_seen.epoch);
     return {};
   }
-  // A restored table gives versions out again: what has changed since a version
-  // of the earlier epoch is unknown, and only a scan shows the current rows.
+  // A restored table assigns versions again: the changes since a version of the
+  // earlier epoch are unknown, and only a scan returns the current rows.
   if (reply.epoch > m_seen.epoch && !is_complete)
     return {};
   TablePosition as_of{reply.epoch, reply.as_of};
@@ -90,18 +91,18 @@
   ConfigReadResult result;
   result.is_ok = true;
   if (document)
-    result = TakeRow(since, *document);
+    result = ProcessRow(since, *document);
   result.evacuations = ReadEvacuations(as_of, reply.rows);
   result.evacuations->is_complete = is_complete;
   return result;
 }
 
-ConfigReadResult OperatorDocumentReader::TakeRow(Revision since,
-                                                 const Row& row) const {
+ConfigReadResult OperatorDocumentReader::ProcessRow(Revision since,
+                                                    const Row& row) const {
   const auto decoded = m_decoder.Decode(row.value);
   if (const auto* fault = std::get_if<RouteDocumentFault>(&decoded)) {
     // The configuration in force stays; the operator's next version may be
-    // sound.
+    // valid.
     LogLine(LogLevel::kError, "config.unreadable")
         .Add("row_version", row.version)
         .Add("in_force", since)
@@ -120,7 +121,7 @@
   change.workspace = WorkspaceName(kRouteDocument);
   change.revision = revision;
   change.yaml = row.value;
-  // Since 0: the document leads on from any configuration.
+  // `since` is 0 because the document can follow any configuration.
   return {.is_ok = true,
           .batch = ConfigBatch{Revision(0), revision, {std::move(change)}}};
 }
--- a/source/core/contracts/operator_document_reader.h
+++ b/source/core/contracts/operator_document_reader.h
@@ -1,6 +1,6 @@
-// Follows the operator's rows on a platform: the document with the whole
-// routing configuration, and one row for each evacuated availability zone. One
-// scan and one watch serve both.
+// Reads and watches the operator's rows on a platform: the document with the
+// whole routing configuration, and one row per evacuated availability zone. One
+// scan and one watch cover both.
 
 #ifndef BULRUSHMOUNT_CORE_CONTRACTS_OPERATOR_DOCUMENT_READER_H_
 #define BULRUSHMOUNT_CORE_CONTRACTS_OPERATOR_DOCUMENT_READER_H_
@@ -13,22 +13,25 @@
 
 namespace bulrushmount {
 
-// The operator's rows; the adapter knows where the platform keeps them.
+// Keys of the operator's rows; the platform's adapter knows where they are
+// stored.
 inline constexpr char kOperatorRowPrefix[] = "operator/";
 inline constexpr char kOperatorDocumentRow[] = "operator/document";
-// Followed by the zone's name; the value has no meaning.
+// Followed by the zone's name; the value is ignored.
 inline constexpr char kEvacuationRowPrefix[] = "operator/evacuation/";
 
-// How long a watch waits at the table. Each further one costs the fleet a read;
-// the table's connections have keep-alive probes, so that a long wait does not
-// hide a dead one.
+// How long the table holds a watch without a change. Each new watch costs the
+// fleet a read; the table's connections use keep-alive probes, so a long wait
+// does not hide a dead connection.
 inline constexpr Duration kWatchTime = std::chrono::seconds(25);
 
-// A document is one change that replaces all: `ConfigChange::yaml` holds its
-// text as the operator wrote it, under the workspace kRouteDocument.
+// A document is represented as one change that replaces the whole
+// configuration: `ConfigChange::yaml` holds the operator's text, under the
+// workspace kRouteDocument.
 class OperatorDocumentReader : public ConfigReader {
  public:
-  // Both must outlive the object, and the object its requests.
+  // `table` and `decoder` must outlive the object, and the object must outlive
+  // its requests.
   OperatorDocumentReader(TableService& table,
                          const RouteDocumentDecoder& decoder)
       : m_table(table), m_decoder(decoder) {}
@@ -39,16 +42,16 @@
   void Watch(Revision since, const Callback& done) override;
 
  private:
-  ConfigReadResult Take(Revision since,
-                        const TableReply& reply,
-                        bool is_complete);
-  ConfigReadResult TakeRow(Revision since, const Row& row) const;
+  ConfigReadResult ProcessReply(Revision since,
+                                const TableReply& reply,
+                                bool is_complete);
+  ConfigReadResult ProcessRow(Revision since, const Row& row) const;
 
   TableService& m_table;
   const RouteDocumentDecoder& m_decoder;
   bool m_is_reading = false;
-  // Up to where the rows' changes have been seen. Its version has a meaning
-  // only within its epoch.
+  // The position up to which the rows' changes have been read. Its version is
+  // only meaningful within its epoch.
   TablePosition m_seen;
 };
 
--- a/source/core/contracts/watch_duty.cc
+++ b/source/core/contracts/watch_duty.cc
@@ -14,22 +14,22 @@
 
 void WatchDuty::SetMembers(TimePoint now,
                            const std::vector<WatchCandidate>& members) {
-  if (!IsChosen(members)) {
-    m_chosen_since.reset();
+  if (!IsSelected(members)) {
+    m_selected_since.reset();
     return;
   }
-  const bool has_grown =
-      static_cast<double>(members.size()) >
-      static_cast<double>(m_members_then) * m_settings.notable_growth;
-  if (m_chosen_since && (!has_grown || HasSettled(now)))
+  const bool has_grown = static_cast<double>(members.size()) >
+                         static_cast<double>(m_members_when_selected) *
+                             m_settings.membership_growth_factor;
+  if (m_selected_since && (!has_grown || HasSettled(now)))
     return;
-  m_chosen_since = now;
-  m_members_then = members.size();
+  m_selected_since = now;
+  m_members_when_selected = members.size();
 }
 
-// The members of the lowest ids in the own zone. Ids are random, so that they
-// are spread over the machines.
-bool WatchDuty::IsChosen(const std::vector<WatchCandidate>& members) const {
+// Selects the members with the lowest ids in this node's zone. Ids are random,
+// so the watchers are distributed evenly over the machines.
+bool WatchDuty::IsSelected(const std::vector<WatchCandidate>& members) const {
   const auto self =
       std::find_if(members.begin(), members.end(),
                    [this](const auto& one) { return one.node == m_self; });
@@ -43,25 +43,26 @@
       ++before;
   }
   const std::size_t fair_share =
-      (m_settings.least_watchers + zones.size() - 1) / zones.size();
-  return before < std::max(m_settings.watchers_a_zone, fair_share);
+      (m_settings.min_watchers + zones.size() - 1) / zones.size();
+  return before < std::max(m_settings.watchers_per_zone, fair_share);
 }
 
 bool WatchDuty::HasSettled(TimePoint now) const {
-  return m_chosen_since && now - *m_chosen_since >= m_settings.settling_time;
+  return m_selected_since &&
+         now - *m_selected_since >= m_settings.settling_time;
 }
 
 bool WatchDuty::IsOnDuty(TimePoint now) const {
-  return HasSettled(now) || now - m_last_contact >= m_settings.longest_silence;
+  return HasSettled(now) || now - m_last_contact >= m_settings.max_peer_silence;
 }
 
 TimePoint WatchDuty::NextChange(TimePoint now) const {
   if (IsOnDuty(now))
     return TimePoint::max();
-  const TimePoint silent_at = m_last_contact + m_settings.longest_silence;
-  if (!m_chosen_since)
+  const TimePoint silent_at = m_last_contact + m_settings.max_peer_silence;
+  if (!m_selected_since)
     return silent_at;
-  return std::min(silent_at, *m_chosen_since + m_settings.settling_time);
+  return std::min(silent_at, *m_selected_since + m_settings.settling_time);
 }
 
 }  // namespace bulrushmount
--- a/source/core/contracts/watch_duty.h
+++ b/source/core/contracts/watch_duty.h
@@ -1,15 +1,16 @@
-// Decides whether this node asks the table for newer configurations by itself,
-// or leaves that to others and hears from them.
+// Decides whether this node watches the table for newer configurations itself,
+// or relies on other nodes to notify it.
 //
-// The load it answers: hundreds of nodes that each watch the table. Every
-// change then answers one watch a node, and a table that turns many nodes away
-// is asked again by each of them, although one answer serves the whole fleet
-// within a few datagrams. So a few members of each availability zone watch; all
-// others hear of a change by gossip and take it from a peer.
+// The design limits the load of hundreds of nodes that each watch the table.
+// Every change would then be answered once per node, and a table that rejects
+// many nodes would be asked again by each of them, although one response
+// reaches the whole fleet within a few datagrams. So a few members of each
+// availability zone watch; all others learn of a change by gossip and fetch it
+// from a peer.
 //
-// Nobody agrees on who watches: each node goes by the members that it knows.
-// Nodes that know different members merely differ on who is chosen, which costs
-// a few watches more for a while.
+// The selection needs no agreement: each node decides from the members that it
+// knows. Nodes that know different members may select different watchers, which
+// only costs a few additional watches for a while.
 
 #ifndef BULRUSHMOUNT_CORE_CONTRACTS_WATCH_DUTY_H_
 #define BULRUSHMOUNT_CORE_CONTRACTS_WATCH_DUTY_H_
@@ -25,22 +26,23 @@
 namespace bulrushmount {
 
 struct WatchDutySettings {
-  // Two, so that a zone that is cut off hears on while one of them is gone.
-  std::size_t watchers_a_zone = 2;
-  // Of the fleet, where it has few zones.
-  std::size_t least_watchers = 4;
-  // A node that is chosen waits for so long, and anew whenever it knows a good
-  // part of the fleet more: after a start, nodes that know few others would
-  // else all take themselves for chosen.
+  // Two, so that a zone that is cut off still has a watcher when one fails.
+  std::size_t watchers_per_zone = 2;
+  // Minimum for the whole fleet, for fleets with few zones.
+  std::size_t min_watchers = 4;
+  // A selected node waits this long before it watches, and starts the wait
+  // again whenever the number of members it knows has grown by
+  // membership_growth_factor: after a start, nodes that know few others would
+  // otherwise all select themselves.
   Duration settling_time = std::chrono::seconds(2);
-  double notable_growth = 1.25;
-  // Without a word of any other node for this long a node asks the table by
-  // itself: nobody would tell it of a change. Members are heard each half a
-  // second.
-  Duration longest_silence = std::chrono::milliseconds(1500);
+  double membership_growth_factor = 1.25;
+  // A node that has received nothing from any other node for this long watches
+  // the table itself, as nobody would notify it of a change. A member is
+  // normally heard from every half second.
+  Duration max_peer_silence = std::chrono::milliseconds(1500);
 };
 
-// A member that may watch.
+// A member that can be selected as watcher.
 struct WatchCandidate {
   NodeId node;
   AvailabilityZone zone;
@@ -50,28 +52,28 @@
  public:
   WatchDuty(const WatchDutySettings& settings, NodeId self, TimePoint now);
 
-  // The live members, this node among them.
+  // The live members, including this node.
   void SetMembers(TimePoint now, const std::vector<WatchCandidate>& members);
 
-  // A datagram of another node has come.
+  // A datagram from another node has arrived.
   void OnPeerContact(TimePoint now) { m_last_contact = now; }
 
   bool IsOnDuty(TimePoint now) const;
 
-  // When IsOnDuty may become true without further news.
+  // When IsOnDuty may become true without a further event.
   TimePoint NextChange(TimePoint now) const;
 
  private:
-  bool IsChosen(const std::vector<WatchCandidate>& members) const;
+  bool IsSelected(const std::vector<WatchCandidate>& members) const;
   bool HasSettled(TimePoint now) const;
 
   const WatchDutySettings m_settings;
   const NodeId m_self;
-  // Of the start, until another node was heard.
+  // The time of the start until another node was heard from.
   TimePoint m_last_contact;
-  // Set while chosen; the members known then.
-  std::optional<TimePoint> m_chosen_since;
-  std::size_t m_members_then = 0;
+  // Set while selected, together with the number of members known then.
+  std::optional<TimePoint> m_selected_since;
+  std::size_t m_members_when_selected = 0;
 };
 
 }  // namespace bulrushmount
--- a/source/unit_tests/core/contracts/config_fleet.cc
+++ b/source/unit_tests/core/contracts/config_fleet.cc
@@ -24,11 +24,11 @@
   if (transaction != nullptr && m_is_refusing)
     return Answer(TableStatus::kUnavailable, std::move(callback));
   m_fake.Submit(std::move(request), std::move(callback));
-  NoteChange();
+  RecordChange();
 }
 
 void HistoryTable::Answer(TableStatus status, Callback callback) {
-  // A read that nobody looks at, only for its place among the answers.
+  // A read whose result is ignored; it keeps the order of the responses.
   m_fake.Submit(TableGet{"none"}, [status, callback = std::move(callback)](
                                       TimePoint now, const TableReply&) {
     callback(now, {status, {}});
@@ -40,10 +40,10 @@
     return;
   m_fake.table().Apply(m_late.front());
   m_late.pop_front();
-  NoteChange();
+  RecordChange();
 }
 
-void HistoryTable::NoteChange() {
+void HistoryTable::RecordChange() {
   const auto rows = m_fake.table().Apply(TableGet{kRevisionRowKey}).rows;
   if (rows.empty())
     return;
@@ -113,13 +113,13 @@
 
 void ConfigFleet::Replace(std::size_t index) {
   nodes[index]->is_cut = true;
-  m_gone.push_back(std::exchange(nodes[index], MakeNode(index)));
+  m_replaced_nodes.push_back(std::exchange(nodes[index], MakeNode(index)));
 }
 
-void ConfigFleet::Introduce(std::size_t hearer, std::size_t told) {
-  nodes[hearer]->sync->OnPeerRevision(now, NodeId(told + 1),
-                                      nodes[told]->endpoint,
-                                      nodes[told]->store.revision());
+void ConfigFleet::Introduce(std::size_t observer, std::size_t peer) {
+  nodes[observer]->sync->OnPeerRevision(now, NodeId(peer + 1),
+                                        nodes[peer]->endpoint,
+                                        nodes[peer]->store.revision());
 }
 
 void ConfigFleet::Write(std::size_t index,
--- a/source/unit_tests/core/contracts/config_fleet.h
+++ b/source/unit_tests/core/contracts/config_fleet.h
@@ -1,6 +1,6 @@
-// Several nodes' configuration modules, joined by a queue of datagrams over one
-// fake table, and the naive version that they are compared with: the list of
-// all accepted changes in their order.
+// The configuration modules of several nodes, connected by simulated datagrams
+// over one fake table, and the naive model that they are compared with: the
+// list of all accepted changes in order.
 
 #ifndef BULRUSHMOUNT_UNIT_TESTS_CORE_CONTRACTS_CONFIG_FLEET_H_
 #define BULRUSHMOUNT_UNIT_TESTS_CORE_CONTRACTS_CONFIG_FLEET_H_
@@ -19,33 +19,34 @@
 
 namespace bulrushmount {
 
-// Notes each change at the moment at which it takes effect. Besides the fake's
-// faults it knows one more: a transaction whose answer is lost and that takes
-// effect later, if it still can.
+// Records each change at the moment when it takes effect. Adds one fault to
+// those of the fake table: a transaction whose response is lost and which takes
+// effect later, if its conditions still hold.
 class HistoryTable : public TableService {
  public:
   void Submit(TableRequest request, Callback callback) override;
 
-  // The next transaction is answered kUnknown and waits for ApplyLate.
+  // The next transaction is answered kUnknown and held until ApplyLate.
   void DelayNextTransaction() { ++m_to_delay; }
-  // The oldest delayed transaction reaches the table.
+  // Applies the oldest delayed transaction.
   void ApplyLate();
-  // From now on transactions that are not delayed are answered kUnavailable.
+  // From now on, transactions that are not delayed are answered kUnavailable.
   void RefuseTransactions() { m_is_refusing = true; }
 
-  // What the configuration `to` consists of, replayed change by change.
+  // The configuration `to`, replayed change by change.
   ConfigBatch Replay(Revision to) const;
   Revision revision() const { return Revision(m_history.size()); }
-  // Of the workspace's contract; kNoRow if there is none or it is withdrawn.
+  // Row version of the workspace's contract; kNoRow if there is none or it is
+  // withdrawn.
   RowVersion VersionOf(const std::string& workspace);
 
   FakeTableService& fake() { return m_fake; }
 
  private:
-  void NoteChange();
+  void RecordChange();
 
   FakeTableService m_fake;
-  // Answers with `status`, in the order of submission, without effect.
+  // Answers with `status` and without effect, in the order of submission.
   void Answer(TableStatus status, Callback callback);
 
   std::size_t m_to_delay = 0;
@@ -80,10 +81,10 @@
 
   ConfigFleet(std::size_t size, std::uint64_t seed);
 
-  // Another node takes the place of the one at `index`, knowing nothing.
+  // Replaces the node at `index` by a new one with an empty state.
   void Replace(std::size_t index);
 
-  void Introduce(std::size_t hearer, std::size_t told);
+  void Introduce(std::size_t observer, std::size_t peer);
   void Write(std::size_t index,
              const std::string& workspace,
              double rate,
@@ -91,7 +92,7 @@
 
   // Delivers or loses one datagram, in random order.
   void DeliverDatagram(bool is_lost);
-  // Hands out what is due, lets timers fire and the table answer.
+  // Delivers due datagrams, lets the table respond and fires timers.
   void Advance(Duration duration);
 
   std::size_t CountInForce(Revision revision) const;
@@ -102,9 +103,9 @@
   HistoryTable table;
   std::vector<std::unique_ptr<Node>> nodes;
   std::vector<Datagram> datagrams;
-  // Answers of operators' requests so far.
+  // Number of operators' requests answered with success.
   std::size_t accepted = 0;
-  // What happens to each datagram sent.
+  // Maximum delay and loss probability of each datagram.
   Duration max_delay = std::chrono::milliseconds(10);
   double loss = 0;
 
@@ -112,8 +113,8 @@
   std::unique_ptr<Node> MakeNode(std::size_t index);
   void Deliver(const Datagram& datagram);
 
-  // Replaced nodes, whose pending requests still refer to them.
-  std::vector<std::unique_ptr<Node>> m_gone;
+  // Replaced nodes, kept because their pending requests still refer to them.
+  std::vector<std::unique_ptr<Node>> m_replaced_nodes;
 };
 
 }  // namespace bulrushmount
--- a/source/unit_tests/core/contracts/config_scale_test.cc
+++ b/source/unit_tests/core/contracts/config_scale_test.cc
@@ -1,6 +1,6 @@
-// The configuration at the size we build towards: 1,100 nodes, in force
-// everywhere within 5 s, and a bound on the reads of the table. The time is
-// the test's own, so the figures do not depend on the machine.
+// Configuration changes at the intended fleet size of 1,100 nodes: in force
+// everywhere within 5 s, with a bound on the reads of the table. Runs in
+// virtual time, so the figures do not depend on the machine.
 
 #include <algorithm>
 
@@ -16,27 +16,28 @@
 using std::chrono::seconds;
 
 constexpr std::size_t kNodes = 1'100;
-// A node knows them all; a sample keeps the test small, and makes it harder.
+// Peers known to each node. A real node knows all of them; a sample keeps the
+// test small and is the harder case.
 constexpr std::size_t kKnownPeers = 30;
 constexpr Duration kTick = milliseconds(5);
 
-// What the settings promise while no peer serves anybody.
+// The bound that the settings guarantee while no peer serves any node.
 const auto kMaxFetchReads = static_cast<std::size_t>(
     ConfigSyncSettings{}.fleet_fetches_per_second * (1 + kMaxSingleReads));
 
 struct ScaleCase {
   std::string name;
-  // No configuration datagram arrives; gossip still tells of the change.
+  // All configuration datagrams are lost; gossip still reports the change.
   bool are_peers_silent = false;
-  // The node that wrote the change dies before it tells anybody.
+  // The node that wrote the change fails before it notifies any other.
   bool is_writer_lost = false;
-  // Reads in any one second.
+  // Maximum table reads in any second.
   std::size_t max_reads_per_second = 0;
 };
 
 class ConfigScaleTest : public testing::TestWithParam<ScaleCase> {
  protected:
-  // Advances, and notes the reads of each second.
+  // Advances the time and records the reads of each second.
   void Tick() {
     m_fleet.Advance(kTick);
     if (m_fleet.now - m_second_began < seconds(1))
@@ -60,8 +61,8 @@
     }
   }
 
-  // Gossip in its plainest form: each node hears of the writer's revision
-  // within a second, as far as it is not there yet.
+  // Simplified gossip: each node learns of the writer's revision within a
+  // second, unless it already has it.
   void Gossip() {
     for (int i = 0; i < 200; ++i) {
       Tick();
--- a/source/unit_tests/core/contracts/config_sync_test.cc
+++ b/source/unit_tests/core/contracts/config_sync_test.cc
@@ -1,4 +1,4 @@
-// Tests of `core/contracts/config_sync.h` and of the modules beneath it.
+// Tests of `core/contracts/config_sync.h` and of the modules that it uses.
 
 #include "core/contracts/config_sync.h"
 
@@ -31,7 +31,7 @@
   }
 }
 
-TEST(ConfigSyncTest, SpreadsAChange) {
+TEST(ConfigSyncTest, PropagatesAChange) {
   ConfigFleet fleet(5, 1);
   IntroduceAll(fleet);
   fleet.Write(0, "a", 1);
@@ -46,13 +46,12 @@
   EXPECT_TRUE(fleet.nodes[0]->store.is_known());
 }
 
-// Symptom: a replaced node serves nobody while the store is down.
-// Sequence: the store goes down, a node is replaced.
-// Cause: looking for the configuration in the table only.
-TEST(ConfigSyncTest, NewcomerTakesItFromPeersWhileTheStoreIsDown) {
+// Guards against a replacement node that cannot serve while the store is down
+// because it looks for the configuration in the table only.
+TEST(ConfigSyncTest, NewNodeFetchesFromPeersWhileTheStoreIsDown) {
   ConfigFleet fleet(3, 1);
   IntroduceAll(fleet);
-  // Larger than the chunks of one request.
+  // A configuration with more chunks than one request may ask for.
   for (int i = 0; i < 70; ++i) {
     fleet.Write(0, "workspace" + std::to_string(i), 1);
     fleet.Advance(milliseconds(1));
@@ -67,7 +66,7 @@
   EXPECT_TRUE(RunUntilInForce(fleet, Revision(70), seconds(20)));
 }
 
-TEST(ConfigSyncTest, TakesItFromTheTableWhenPeersAreSilent) {
+TEST(ConfigSyncTest, ReadsTheTableWhenPeersAreSilent) {
   ConfigFleet fleet(3, 1);
   fleet.loss = 1;
   IntroduceAll(fleet);
@@ -75,7 +74,7 @@
   EXPECT_TRUE(RunUntilInForce(fleet, Revision(1), seconds(10)));
 }
 
-TEST(ConfigSyncTest, TellsTheAgeOfItsConfirmation) {
+TEST(ConfigSyncTest, ReportsTheAgeOfItsConfirmation) {
   ConfigFleet fleet(2, 1);
   fleet.Introduce(0, 1);
   ConfigSync& sync = *fleet.nodes[0]->sync;
@@ -96,11 +95,11 @@
   fleet.nodes[0]->sync->SetMemberCount(fleet.now, 1'000'000);
   for (int i = 0; i < 600; ++i)
     fleet.Advance(milliseconds(100));
-  // Node 0 hardly polls; node 1 does, and tells it.
+  // Node 0 hardly ever polls; node 1 does and notifies it.
   EXPECT_LT(fleet.nodes[0]->sync->AgeOfConfirmation(fleet.now), seconds(8));
 }
 
-TEST(ConfigSyncTest, IgnoresDatagramsThatMakeNoSense) {
+TEST(ConfigSyncTest, IgnoresInvalidDatagrams) {
   ConfigFleet fleet(1, 1);
   ConfigSync& sync = *fleet.nodes[0]->sync;
   const Endpoint stranger{"10.9.9.9", 1};
@@ -111,7 +110,7 @@
   EXPECT_EQ(fleet.nodes[0]->store.revision(), Revision(0));
 }
 
-TEST(ConfigTransferTest, DatagramsStayBelowTheBound) {
+TEST(ConfigTransferTest, DatagramsStayBelowTheMaximumSize) {
   BatchChunk chunk{Revision(UINT64_MAX),
                    Revision(UINT64_MAX),
                    UINT64_MAX,
@@ -126,7 +125,7 @@
   EXPECT_LE(EncodeDatagram(request).size(), kMaxDatagramPayload);
 }
 
-TEST(ConfigTransferTest, RefusesAlteredBytes) {
+TEST(ConfigTransferTest, RejectsAlteredBytes) {
   const std::string bytes = EncodeBatch({Revision(0), Revision(1), {}});
   ConfigDownload download{Revision(0)};
   EXPECT_EQ(
@@ -184,10 +183,11 @@
   }
 }
 
-// Racing operators, answers lost, transactions late, a store that is down,
-// datagrams lost and reordered, nodes cut and replaced: a node's configuration
-// is always exactly the one that the naive version has at the same revision,
-// its revision never falls, accepted changes stay, and in the end all agree.
+// Under concurrent operators, lost responses, late transactions, an unavailable
+// store, lost and reordered datagrams, and nodes that are cut off and replaced:
+// a node's configuration always equals the naive model's at the same revision,
+// its revision never decreases, accepted changes persist, and in the end all
+// nodes agree.
 RC_GTEST_PROP(ConfigSyncProperty, FollowsTheHistory, ()) {
   ConfigFleet fleet(4, *rc::gen::arbitrary<std::uint64_t>());
   fleet.max_delay = milliseconds(300);
--- a/source/unit_tests/core/contracts/config_table_reader_test.cc
+++ b/source/unit_tests/core/contracts/config_table_reader_test.cc
@@ -11,11 +11,9 @@
 namespace bulrushmount {
 namespace {
 
-// Symptom: for a moment a node has one contract of a newer configuration and
-// another of an older one.
-// Sequence: the revision row is read; two contracts change; their rows are
-// read, the one before and the other after its change.
-// Cause: the table hands out one row at a time.
+// Guards against a configuration that mixes two revisions. The revision row is
+// read, two contracts change, and their rows are read, one before and one after
+// its change, as the table returns one row at a time.
 RC_GTEST_PROP(ConfigTableReaderProperty, NeverMixesConfigurations, ()) {
   HistoryTable table;
   SeededRandomSource random(*rc::gen::arbitrary<std::uint64_t>());
@@ -32,7 +30,7 @@
     table.fake().DeliverAll(TimePoint{});
   }
 
-  // Others are anywhere between their reads and their commit.
+  // Further writers are at an arbitrary point between their reads and commit.
   for (int i = *rc::gen::inRange(0, 8); i > 0; --i) {
     write();
     if (*rc::gen::arbitrary<bool>())
@@ -62,9 +60,9 @@
   RC_ASSERT(*result->batch == expected);
 }
 
-// Symptom: a node returns to an older configuration after an operator of the
-// platform restored a backup of the table.
-TEST(ConfigTableReaderTest, TakesNothingFromATableThatWentBack) {
+// Guards against a node that returns to an older configuration after an
+// operator of the platform has restored a backup of the table.
+TEST(ConfigTableReaderTest, IgnoresATableWithAnOlderRevision) {
   HistoryTable table;
   ConfigTableReader reader(table);
   std::optional<ConfigReadResult> result;
--- a/source/unit_tests/core/contracts/contract_store_test.cc
+++ b/source/unit_tests/core/contracts/contract_store_test.cc
@@ -45,7 +45,7 @@
   return std::string(TraitsOf(std::get<Reason>(result)).token);
 }
 
-TEST_P(MatchKindTest, FindsTheFirstKindOrSaysWhatIsUnknown) {
+TEST_P(MatchKindTest, FindsTheFirstKindOrReportsWhatIsUnknown) {
   ContractStore store;
   ConfigChange gone{WorkspaceName("gone"), Revision(2), ChangeId(2), true, ""};
   ConfigChange odd{WorkspaceName("odd"), Revision(3), ChangeId(3), false,
@@ -85,7 +85,7 @@
                   "configuration-unknown"}),
     [](const auto& info) { return info.param.name; });
 
-TEST(ContractStoreTest, KnowsNothingAtFirst) {
+TEST(ContractStoreTest, ConfigurationIsUnknownAtFirst) {
   ContractStore store;
   EXPECT_EQ(Describe(store.MatchKind(WorkspaceName("a"), ServiceName("b"),
                                      "GET", "/")),
@@ -107,7 +107,7 @@
   std::vector<std::string> seen;
 };
 
-TEST(ContractStoreTest, TellsListenersWhatChanged) {
+TEST(ContractStoreTest, NotifiesListenersOfChanges) {
   ContractStore store;
   RecordingListener listener;
   store.AddListener(&listener);
@@ -120,10 +120,9 @@
   EXPECT_EQ(listener.seen, (std::vector<std::string>{"a+", "b+", "a-"}));
 }
 
-// Symptom: a withdrawn contract is in force again on some nodes.
-// Sequence: revision 2 withdraws; a late batch or a gap brings revision 1 or
-// skips 2.
-// Cause: applying whatever arrives.
+// Guards against a withdrawn contract that becomes active again on some nodes:
+// revision 2 withdraws it, and a late batch contains revision 1 or a batch with
+// a gap skips revision 2.
 TEST(ContractStoreTest, RefusesStaleBatchesAndGaps) {
   ContractStore store;
   const ConfigBatch first = Snapshot({Written("a", 1, 1)});
@@ -139,8 +138,9 @@
   EXPECT_EQ(store.revision(), Revision(2));
 }
 
-// Against the naive version: the list of all changes, replayed up to the
-// revision in force. Two stores feed each other random batches.
+// Comparison with a naive model: the list of all changes, replayed up to the
+// revision in force. The store receives random batches, and its own batches are
+// compared with the replay.
 RC_GTEST_PROP(ContractStoreProperty, EqualsTheReplayOfItsRevision, ()) {
   const auto length = *rc::gen::inRange(1, 12);
   std::vector<ConfigChange> history;
--- a/source/unit_tests/core/contracts/contract_texts.h
+++ b/source/unit_tests/core/contracts/contract_texts.h
@@ -12,7 +12,7 @@
 namespace bulrushmount {
 
 // Service `desk` with the kinds `browse` (GET /scripts) and `other` (any
-// method, /scripts). `rate` tells one version from another.
+// method, /scripts). `rate` distinguishes versions.
 inline std::string MakeContractText(const std::string& workspace, double rate) {
   return fmt::format(R"(workspace: {}
 services:
--- a/source/unit_tests/core/contracts/contract_writer_test.cc
+++ b/source/unit_tests/core/contracts/contract_writer_test.cc
@@ -20,10 +20,10 @@
 using std::chrono::milliseconds;
 using testing::HasSubstr;
 
-// One writer over a table of its own, with a clock.
+// One writer with its own table and clock.
 class WriterFixture {
  public:
-  // Runs until the request is answered; an empty answer has status 0.
+  // Runs until the request is answered; without an answer the status is 0.
   AnswerOperator Ask(const OperatorRequested& request) {
     AnswerOperator answer;
     writer.Handle(now, request, [&](TimePoint, AnswerOperator given) {
@@ -81,7 +81,7 @@
   EXPECT_EQ(committed.back().revision, Revision(4));
 }
 
-TEST_F(ContractWriterTest, NamesTheCurrentVersionToTheLoserOfARace) {
+TEST_F(ContractWriterTest, ReportsTheCurrentVersionOnAConflict) {
   const RowVersion first = Write("a", 1).version;
   const RowVersion second = Write("a", 2, first).version;
   for (const RowVersion stale : {first, kNoRow, RowVersion(999)}) {
@@ -111,10 +111,9 @@
   EXPECT_EQ(answer.status, 400);
 }
 
-// Symptom: the operator is told "unavailable" and the contract changes all the
-// same.
-// Sequence: the store goes down before a read or before the write.
-// Cause: taking a lost answer for a refused connection.
+// Guards against answering "unavailable" although the contract changes, which
+// happens if a lost response is treated like a refused connection. The store
+// goes down before a read or before the write.
 TEST_F(ContractWriterTest, StoreDownMeansNotWritten) {
   for (const std::size_t good_requests : {0u, 1u, 2u}) {
     table.FailNext(TableFault::kNone, good_requests);
@@ -126,9 +125,9 @@
   EXPECT_EQ(Show("a").status, 503);
 }
 
-// Symptom: an operator is told 412 about a change of his own that was made.
-// Sequence: the table commits, its answer is lost, the writer sends again.
-// Cause: the failed condition is the writer's own first submission.
+// Guards against answering 412 to an operator whose own change was committed.
+// The table commits, its response is lost, the writer submits again, and the
+// condition fails because of the writer's own first submission.
 TEST_F(ContractWriterTest, ResolvesALostAnswer) {
   table.FailNext(TableFault::kNone, 2);
   table.FailNext(TableFault::kAnswerLost);
@@ -146,10 +145,10 @@
   EXPECT_EQ(committed.front().revision, Revision(1));
 }
 
-// Symptom: 503 "nothing was written", and the contract is in force.
-// Sequence: the answer of the commit is lost, then the store goes down.
-// Cause: the refused connection of the second try says nothing of the first.
-TEST_F(ContractWriterTest, SaysUnknownWhenTheStoreGoesDownAfterALostAnswer) {
+// Guards against answering 503 "nothing was written" although the contract is
+// in force. The response to the commit is lost, then the store goes down; the
+// refused connection of the second attempt says nothing about the first.
+TEST_F(ContractWriterTest, ReportsUnknownWhenTheStoreGoesDownAfterALostAnswer) {
   table.FailNext(TableFault::kNone, 2);
   table.FailNext(TableFault::kAnswerLost);
   table.SetFault(TableFault::kDown);
@@ -161,8 +160,8 @@
   EXPECT_EQ(Show("a").status, 200);
 }
 
-// Symptom: as above, but the answer is lost and somebody else changes the
-// contract on top before the writer reads back.
+// The response is lost and another operator changes the contract again before
+// the writer reads back.
 TEST_F(ContractWriterTest, FindsItsChangeUnderALaterOne) {
   table.FailNext(TableFault::kNone, 2);
   table.FailNext(TableFault::kAnswerLost);
@@ -186,11 +185,12 @@
   EXPECT_THAT(answer.body, HasSubstr("changed again since"));
 }
 
-// Symptom: 503 "nothing was written", and later the contract is in force.
-// Sequence: the transaction is under way and its answer lost; reading back
-// finds nothing; the store refuses the next try; the transaction arrives.
-// Cause: taking one read for the proof that the transaction has no effect.
-TEST(ContractWriterLateTest, SaysUnknownWhileATransactionMayStillArrive) {
+// Guards against answering 503 "nothing was written" although the contract
+// comes into force later. The response to a transaction in transit is lost,
+// reading back finds nothing, the store refuses the next attempt, and the
+// transaction arrives. One read does not prove that the transaction has no
+// effect.
+TEST(ContractWriterLateTest, ReportsUnknownWhileATransactionMayStillArrive) {
   HistoryTable table;
   SeededRandomSource random(1);
   ContractWriter writer(ContractWriterSettings{}, table, random,
@@ -224,9 +224,9 @@
 
 // --- Differential -----------------------------------------------------------
 
-// Three writers race over one table, under random faults and interleavings.
-// The naive version is the table's own log: one map, one total order. Each
-// answer must tell the truth about it.
+// Three writers compete for one table under random faults and interleavings.
+// The naive model is the table's own log, one map with one total order. Each
+// answer must be consistent with it.
 class WritersRace {
  public:
   explicit WritersRace(std::uint64_t seed) : m_random(seed) {
@@ -257,7 +257,7 @@
                             TableFault::kSilent, TableFault::kAnswerLost));
   }
 
-  // Until each request is answered.
+  // Runs until each request is answered.
   void Finish() {
     for (int step = 0; step < 100; ++step) {
       m_table.fake().DeliverAll(m_now);
@@ -266,7 +266,8 @@
     }
   }
 
-  // Nothing told as done is missing, and nothing told as not done was done.
+  // Every change reported as committed exists, and none reported as not written
+  // does.
   void CheckAnswers() {
     const RevisionRecord record = ReadRecord();
     const std::size_t successes = CountAnswers(200);
@@ -314,7 +315,7 @@
                         : *DecodeRevisionRecord(rows.front().value);
   }
 
-  // 0: not answered.
+  // A `status` of 0 counts unanswered requests.
   std::size_t CountAnswers(int status) const {
     return static_cast<std::size_t>(std::count_if(
         m_answers.begin(), m_answers.end(),
@@ -330,7 +331,7 @@
   std::vector<std::unique_ptr<ContractWriter>> m_writers;
 };
 
-RC_GTEST_PROP(ContractWriterProperty, AnswersTellTheTruth, ()) {
+RC_GTEST_PROP(ContractWriterProperty, AnswersMatchTheTable, ()) {
   WritersRace race(*rc::gen::arbitrary<std::uint64_t>());
   const int steps = *rc::gen::inRange(10, 120);
   for (int step = 0; step < steps; ++step)
--- a/source/unit_tests/core/contracts/contract_yaml_test.cc
+++ b/source/unit_tests/core/contracts/contract_yaml_test.cc
@@ -59,7 +59,7 @@
 
 class ContractFaultTest : public testing::TestWithParam<FaultCase> {};
 
-TEST_P(ContractFaultTest, NamesTheFaultAndItsPlace) {
+TEST_P(ContractFaultTest, ReportsTheFaultAndItsPosition) {
   std::string text = kValid;
   const std::size_t at = text.find(GetParam().from);
   ASSERT_NE(at, std::string::npos);
@@ -153,7 +153,7 @@
   EXPECT_EQ(TryParseContract(text).faults.faults.size(), 3u);
 }
 
-TEST(ContractYamlTest, NamesDuplicateAndHiddenKinds) {
+TEST(ContractYamlTest, ReportsDuplicateAndHiddenKinds) {
   std::string text = kValid;
   const std::string kind =
       text.substr(text.find("      - name"),
@@ -185,9 +185,8 @@
 
 class HostileYamlTest : public testing::TestWithParam<HostileCase> {};
 
-// Symptom: a node stops answering, or grows beyond its memory.
-// Sequence: somebody writes a text that is small and unfolds to a huge tree.
-// Cause: aliases, depth and node counts without a bound.
+// Guards against a small text that expands to a huge tree and makes a node hang
+// or exhaust its memory, through unbounded aliases, depth or node counts.
 TEST_P(HostileYamlTest, IsRefused) {
   const ContractOrFaults parsed = TryParseContract(GetParam().text);
   EXPECT_FALSE(parsed.contract.has_value());
--- a/source/unit_tests/core/contracts/watch_duty_test.cc
+++ b/source/unit_tests/core/contracts/watch_duty_test.cc
@@ -27,8 +27,8 @@
   return fleet;
 }
 
-// How many of the nodes are on duty five seconds after all know `members`.
-std::size_t CountOnDuty(const std::vector<WatchCandidate>& members) {
+// Number of nodes that watch five seconds after all of them know `members`.
+std::size_t CountWatchers(const std::vector<WatchCandidate>& members) {
   std::size_t count = 0;
   for (const WatchCandidate& member : members) {
     WatchDuty duty({}, member.node, kStart);
@@ -49,7 +49,7 @@
 class WatchDutyFleetTest : public testing::TestWithParam<FleetCase> {};
 
 TEST_P(WatchDutyFleetTest, WatchersGrowWithZonesNotWithNodes) {
-  EXPECT_EQ(CountOnDuty(Fleet(GetParam().nodes, GetParam().zones)),
+  EXPECT_EQ(CountWatchers(Fleet(GetParam().nodes, GetParam().zones)),
             GetParam().watchers);
 }
 
@@ -62,17 +62,19 @@
                                          FleetCase{"EightZones", 1100, 8, 16}),
                          [](const auto& info) { return info.param.name; });
 
-// Symptom: in the first second after a start of all, every node watches the
-// table. Sequence: each knows itself and a few others, and takes itself for the
-// first of its zone. Cause: it acted on a choice that it unmade a moment later.
-TEST(WatchDutyTest, AChoiceHoldsOnlyOnceItHasSettled) {
+// Guards against every node watching the table in the first second after all
+// nodes start: each knows only itself and a few others, selects itself as the
+// first of its zone, and would act on a selection that it revokes a moment
+// later.
+TEST(WatchDutyTest, SelectionTakesEffectAfterSettling) {
   const std::vector<WatchCandidate> fleet = Fleet(300, 6);
   WatchDuty duty({}, NodeId(290), kStart);
   duty.SetMembers(kStart, {fleet[289]});
   duty.OnPeerContact(kStart + 1s);
   EXPECT_FALSE(duty.IsOnDuty(kStart + 1s));
   EXPECT_EQ(duty.NextChange(kStart + 1s), kStart + 2s);
-  // It knows some more, and is still the first of its zone: it waits anew.
+  // It knows more members and is still the first of its zone: the wait
+  // restarts.
   duty.SetMembers(kStart + 1500ms, {fleet[289], fleet[288], fleet[295]});
   duty.OnPeerContact(kStart + 3s);
   EXPECT_FALSE(duty.IsOnDuty(kStart + 3s));
@@ -81,10 +83,10 @@
   EXPECT_FALSE(duty.IsOnDuty(kStart + 9s));
 }
 
-// Symptom: a node that reaches the table and no other node serves by an old
-// configuration. Sequence: it is cut off from its peers, and a change comes.
-// Cause: it left the watch to members that cannot tell it.
-TEST(WatchDutyTest, ANodeThatHearsNobodyWatchesByItself) {
+// Guards against a node that keeps an old configuration because it relies on
+// watchers it cannot hear: it is cut off from its peers but reaches the table,
+// and a change is written.
+TEST(WatchDutyTest, IsolatedNodeWatches) {
   const std::vector<WatchCandidate> fleet = Fleet(300, 6);
   WatchDuty duty({}, NodeId(290), kStart);
   duty.SetMembers(kStart, fleet);
@@ -96,8 +98,8 @@
   EXPECT_FALSE(duty.IsOnDuty(kStart + 7s));
 }
 
-// The next of the zone takes over from one that is gone.
-TEST(WatchDutyTest, AnotherOfTheZoneFollowsOneThatIsGone) {
+// The next member of the zone replaces a watcher that is gone.
+TEST(WatchDutyTest, NextMemberOfTheZoneReplacesADepartedWatcher) {
   std::vector<WatchCandidate> fleet = Fleet(300, 6);
   WatchDuty duty({}, NodeId(13), kStart);
   duty.SetMembers(kStart, fleet);
