--- a/source/core/store/http_client.cc
+++ b/source/core/store/http_client.cc
@@ -1,5 +1,5 @@
-// A pool hands its connections to exchanges; an exchange is one request with
-// its answer and its time-out.
+// A pool assigns its connections to exchanges; an exchange is one request with
+// its response and time-out.
 
 #include "core/store/http_client.h"
 
@@ -43,7 +43,7 @@
   const HttpClientSettings& settings() const { return m_settings; }
 
   void Add(std::shared_ptr<HttpExchange> exchange);
-  // `socket` is empty unless its exchange finished cleanly.
+  // `socket` is null unless the exchange finished cleanly.
   void Release(const std::shared_ptr<HttpExchange>& exchange,
                std::unique_ptr<Socket> socket);
   void Close();
@@ -54,7 +54,7 @@
   asio::io_context& m_io;
   HttpClientSettings m_settings;
   std::deque<std::shared_ptr<HttpExchange>> m_waiting;
-  // At most `max_connections`; each holds one connection.
+  // At most `max_connections`; each uses one connection.
   std::vector<std::shared_ptr<HttpExchange>> m_running;
   IdleSockets m_idle;
 };
@@ -80,7 +80,7 @@
     });
   }
 
-  // `socket` is a connection to use, or empty to open one.
+  // `socket` is a connection to reuse, or null to open a new one.
   void Run(std::unique_ptr<Socket> socket) {
     m_socket = std::move(socket);
     if (m_socket) {
@@ -90,7 +90,7 @@
     }
   }
 
-  // Ends without calling back.
+  // Ends the exchange without calling the callback.
   void Abandon() {
     m_is_done = true;
     m_timer.cancel();
@@ -123,7 +123,7 @@
                             });
   }
 
-  // False if the address cannot be had.
+  // False if the local address is invalid or cannot be bound.
   bool BindToLocal() {
     const std::string& local_ip = m_pool->settings().local_ip;
     if (local_ip.empty()) {
@@ -201,8 +201,8 @@
     callback(std::move(reply));
   }
 
-  // The socket stays until the last handler is gone: its operations refer to
-  // it.
+  // The socket object is kept until the last handler is gone, as pending
+  // operations refer to it.
   void CloseSocket() {
     if (m_socket) {
       error_code ignored;
@@ -219,7 +219,7 @@
   boost::beast::flat_buffer m_buffer;
   http::response_parser<http::string_body> m_parser;
   bool m_may_have_written = false;
-  // Once set, no handler acts any more.
+  // Once set, handlers do nothing.
   bool m_is_done = false;
 };
 
--- a/source/core/store/http_client.h
+++ b/source/core/store/http_client.h
@@ -1,5 +1,6 @@
-// An HTTP/1.1 client with a few keep-alive connections to one server, which
-// tells apart what certainly was not sent from what may have arrived.
+// An HTTP/1.1 client with a few keep-alive connections to one server. It
+// distinguishes requests that were certainly not sent from those that may have
+// arrived.
 
 #ifndef BULRUSHMOUNT_CORE_STORE_HTTP_CLIENT_H_
 #define BULRUSHMOUNT_CORE_STORE_HTTP_CLIENT_H_
@@ -24,17 +25,18 @@
     boost::beast::http::request<boost::beast::http::string_body>;
 
 enum class HttpDelivery : std::uint8_t {
-  // A whole answer came.
+  // A complete response was received.
   kAnswered,
-  // No byte of the request left: it certainly has no effect.
+  // No byte of the request was sent: it certainly had no effect.
   kNotSent,
-  // At least one byte may have left, and no whole answer came.
+  // At least one byte may have been sent, and no complete response was
+  // received.
   kUnknown,
 };
 
 struct HttpReply {
   HttpDelivery delivery = HttpDelivery::kUnknown;
-  // Only with kAnswered.
+  // Only set with kAnswered.
   unsigned status = 0;
   boost::beast::http::fields fields;
   std::string body;
@@ -42,9 +44,10 @@
 
 struct HttpClientSettings {
   Endpoint server;
-  // The address that connections come from; empty: the kernel's choice.
+  // The local address of connections; chosen by the kernel if empty.
   std::string local_ip;
-  // From `Send` to the whole answer, the wait for a connection included.
+  // Time from `Send` to the complete response, including the wait for a
+  // connection.
   Duration timeout = std::chrono::seconds(1);
   std::size_t max_connections = 4;
   std::size_t max_reply_bytes = std::size_t{16} << 20;
@@ -59,16 +62,16 @@
   using Callback = std::function<void(HttpReply reply)>;
 
   HttpClient(boost::asio::io_context& io, HttpClientSettings settings);
-  // Callbacks still due are dropped without being called.
+  // Pending callbacks are dropped without being called.
   ~HttpClient();
 
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
   // Calls `callback` exactly once, from a handler of the io_context and never
-  // before returning. Sends nothing twice.
+  // before returning. Never sends a request twice.
   void Send(HttpRequest request, Callback callback);
-  // With another time-out than that of the settings.
+  // Uses `timeout` instead of the one in the settings.
   void Send(HttpRequest request, Duration timeout, Callback callback);
 
  private:
--- a/source/core/store/http_object_store.cc
+++ b/source/core/store/http_object_store.cc
@@ -1,4 +1,4 @@
-// Maps HTTP statuses to the object store's.
+// Maps HTTP statuses to those of the object store.
 
 #include "core/store/http_object_store.h"
 
@@ -20,8 +20,9 @@
   return request;
 }
 
-// As for the table, only the store's own word makes a 503 "without effect".
-bool SaysUnavailable(const HttpReply& reply) {
+// As for the table, a 503 means "without effect" only if the store itself says
+// so in the body.
+bool ReportsUnavailable(const HttpReply& reply) {
   return boost::leaf::try_handle_all(
       [&]() -> boost::leaf::result<bool> {
         BOOST_LEAF_AUTO(body, DecodeTableReply(reply.body));
@@ -47,8 +48,8 @@
     case 412:
       return ObjectStatus::kExists;
     default:
-      return SaysUnavailable(reply) ? ObjectStatus::kUnavailable
-                                    : ObjectStatus::kUnknown;
+      return ReportsUnavailable(reply) ? ObjectStatus::kUnavailable
+                                       : ObjectStatus::kUnknown;
   }
 }
 
--- a/source/core/store/http_table_service.cc
+++ b/source/core/store/http_table_service.cc
@@ -1,4 +1,4 @@
-// Maps what became of the HTTP exchange to the table's statuses.
+// Maps the result of the HTTP exchange to the table's statuses.
 
 #include "core/store/http_table_service.h"
 
@@ -25,9 +25,9 @@
       });
 }
 
-// A bare 503 may come from something between here and the table, after the
-// table got the request. So only the table's own word counts: a body which says
-// that nothing was done.
+// A plain 503 may come from an intermediary after the table has received the
+// request. So a 503 only counts as without effect if the body is the table's
+// own reply that nothing was done.
 TableReply ToTableReply(const HttpReply& reply) {
   if (reply.delivery == HttpDelivery::kNotSent) {
     return {TableStatus::kUnavailable, {}};
--- a/source/core/store/http_table_service.h
+++ b/source/core/store/http_table_service.h
@@ -15,9 +15,10 @@
   HttpTableService(boost::asio::io_context& io, HttpClientSettings settings)
       : m_client(io, std::move(settings)) {}
 
-  // This protocol has no watch: it is answered kHistoryLost at once.
-  // kUnavailable: no byte left, or the service said that it did nothing.
-  // kUnknown: time-out, broken connection or unreadable answer after that.
+  // A watch is not supported by this protocol and is answered with kHistoryLost
+  // at once. kUnavailable: no byte was sent, or the service reported that it
+  // did nothing. kUnknown: time-out, broken connection or unreadable response
+  // after that.
   void Submit(TableRequest request, Callback callback) override;
 
  private:
--- a/source/core/store/idle_sockets.h
+++ b/source/core/store/idle_sockets.h
@@ -1,4 +1,4 @@
-// Connections kept open between requests, for clients that use one again.
+// Pool of idle keep-alive connections.
 
 #ifndef BULRUSHMOUNT_CORE_STORE_IDLE_SOCKETS_H_
 #define BULRUSHMOUNT_CORE_STORE_IDLE_SOCKETS_H_
@@ -15,10 +15,11 @@
   using Socket = boost::asio::ip::tcp::socket;
 
   void Add(std::unique_ptr<Socket> socket);
-  // The socket added last of those still open, null if there is none. A server
-  // closes an idle connection when it restarts or tires of it. Written to such
-  // a connection, a request would be lost with bytes sent, and so be "unknown"
-  // for no need. A peek sees a close that has arrived already.
+  // Returns the most recently added socket that is still open, null if there is
+  // none. A server closes idle connections when it restarts or after its own
+  // time-out. A request written to such a connection would fail after bytes
+  // were sent, and so end as "unknown" needlessly. A peek detects a close that
+  // has already arrived.
   std::unique_ptr<Socket> Take();
   void Clear() { m_sockets.clear(); }
 
--- a/source/core/store/in_memory_object_store.h
+++ b/source/core/store/in_memory_object_store.h
@@ -1,4 +1,4 @@
-// Objects in memory: what the platform stand-in and the tests keep them in.
+// In-memory objects for the platform stand-in and the tests.
 
 #ifndef BULRUSHMOUNT_CORE_STORE_IN_MEMORY_OBJECT_STORE_H_
 #define BULRUSHMOUNT_CORE_STORE_IN_MEMORY_OBJECT_STORE_H_
@@ -10,10 +10,10 @@
 
 class InMemoryObjects {
  public:
-  // Valid until the object is put again; null if there is none.
+  // Valid until the object is written again; null if it does not exist.
   const std::string* Find(const std::string& key) const;
   void Put(const std::string& key, std::string bytes);
-  // False if the object exists; it is left as it is.
+  // Returns false and leaves the object unchanged if it exists.
   bool PutIfAbsent(const std::string& key, const std::string& bytes);
 
  private:
--- a/source/core/store/in_memory_table.cc
+++ b/source/core/store/in_memory_table.cc
@@ -1,4 +1,4 @@
-// The table's get, scan and transact over a sorted map.
+// Get, scan, watch and transact over a sorted map.
 
 #include "core/store/in_memory_table.h"
 
@@ -57,7 +57,7 @@
             [](const Row& left, const Row& right) {
               return left.version < right.version;
             });
-  // A version that this history has not reached.
+  // The version is newer than this table's history.
   if (watch.after > RowVersion(m_last_version))
     return {TableStatus::kHistoryLost, {}};
   return reply;
--- a/source/core/store/object_store.h
+++ b/source/core/store/object_store.h
@@ -1,5 +1,5 @@
-// The platform's object store, whatever adapter reaches it: for things too
-// large for a row.
+// Interface of the platform's object store, independent of the adapter. It
+// holds data too large for a table row.
 
 #ifndef BULRUSHMOUNT_CORE_STORE_OBJECT_STORE_H_
 #define BULRUSHMOUNT_CORE_STORE_OBJECT_STORE_H_
@@ -16,17 +16,17 @@
   kOk,
   // Get: there is no such object.
   kNotFound,
-  // PutIfAbsent: there is one already; it was left as it was.
+  // PutIfAbsent: the object exists and was left unchanged.
   kExists,
   // A put may or may not have taken effect.
   kUnknown,
-  // Certainly without effect.
+  // The request certainly had no effect.
   kUnavailable,
 };
 
 struct ObjectReply {
   ObjectStatus status = ObjectStatus::kUnknown;
-  // Of a get with kOk.
+  // Content of the object, only for a get with kOk.
   std::string bytes;
 };
 
@@ -37,8 +37,8 @@
 
   virtual ~ObjectStore() = default;
 
-  // Each calls `callback` exactly once, never before returning. Keys and
-  // objects may hold any bytes.
+  // Each call invokes `callback` exactly once, never before returning. Keys and
+  // objects may contain any bytes.
   virtual void Get(const std::string& key, Callback callback) = 0;
   virtual void Put(const std::string& key,
                    std::string bytes,
--- a/source/core/store/table_codec.cc
+++ b/source/core/store/table_codec.cc
@@ -1,4 +1,4 @@
-// Boost.JSON on one side, the table's typed values on the other.
+// Converts between Boost.JSON values and the table's types.
 
 #include "core/store/table_codec.h"
 
@@ -90,7 +90,7 @@
   return RowVersion{number};
 }
 
-// Releases without epochs leave it out.
+// Older releases without epochs omit the field.
 leaf::result<TableEpoch> ReadEpoch(const json::object& object) {
   const json::value* const value = object.if_contains("epoch");
   if (value == nullptr) {
@@ -125,7 +125,7 @@
   return elements;
 }
 
-// Lets `read` have an object for each element of an array.
+// Like ReadArray, for an array whose elements must be objects.
 template <typename Element, typename Read>
 leaf::result<std::vector<Element>> ReadObjects(const json::object& object,
                                                std::string_view field,
--- a/source/core/store/table_codec.h
+++ b/source/core/store/table_codec.h
@@ -1,5 +1,6 @@
-// Table requests and replies as JSON bodies, for the HTTP adapter and for the
-// platform stand-in. docs/design/platform.md describes the protocol.
+// Encodes and decodes table requests and replies as JSON bodies, for the HTTP
+// adapter and the platform stand-in. docs/design/platform.md describes the
+// protocol.
 
 #ifndef BULRUSHMOUNT_CORE_STORE_TABLE_CODEC_H_
 #define BULRUSHMOUNT_CORE_STORE_TABLE_CODEC_H_
@@ -26,8 +27,8 @@
   kNotHex,
 };
 
-// `bytes` in lower-case hexadecimal digits, which keep the order of keys and
-// the prefixes of one another.
+// Lower-case hexadecimal digits. The encoding preserves the order of keys and
+// prefix relations.
 std::string ToHex(std::string_view bytes);
 boost::leaf::result<std::string> FromHex(std::string_view digits);
 
@@ -37,7 +38,7 @@
                                                      std::string_view body);
 
 std::string EncodeTableReply(const TableReply& reply);
-// A status that it does not know decodes to kUnknown.
+// An unknown status is decoded as kUnknown.
 boost::leaf::result<TableReply> DecodeTableReply(std::string_view body);
 
 }  // namespace bulrushmount
--- a/source/core/store/table_service.h
+++ b/source/core/store/table_service.h
@@ -1,6 +1,6 @@
-// The platform's table service, whatever adapter reaches it. Decision modules
-// take one as an argument too: node_logic hands them one that emits an action
-// for each request.
+// Interface of the platform's table service, independent of the adapter.
+// Decision modules also take one as an argument: node_logic passes them an
+// implementation that emits an action for each request.
 
 #ifndef BULRUSHMOUNT_CORE_STORE_TABLE_SERVICE_H_
 #define BULRUSHMOUNT_CORE_STORE_TABLE_SERVICE_H_
@@ -19,8 +19,8 @@
 
   virtual ~TableService() = default;
 
-  // Calls `callback` exactly once, never before returning; with kUnknown at
-  // the latest when the adapter's time-out has passed.
+  // Calls `callback` exactly once, never before returning; with kUnknown at the
+  // latest when the adapter's time-out expires.
   virtual void Submit(TableRequest request, Callback callback) = 0;
 };
 
--- a/source/core/store/table_types.h
+++ b/source/core/store/table_types.h
@@ -1,5 +1,5 @@
-// The requests to the platform's transactional table service and its replies,
-// as values: decision modules emit the ones and take the others.
+// Requests to the platform's transactional table service and its replies, as
+// value types that decision modules emit and receive.
 
 #ifndef BULRUSHMOUNT_CORE_STORE_TABLE_TYPES_H_
 #define BULRUSHMOUNT_CORE_STORE_TABLE_TYPES_H_
@@ -15,17 +15,17 @@
 
 namespace bulrushmount {
 
-// Set by the table at each write of the row and never used twice for it; 0
-// stands for "no such row".
+// Assigned by the table at each write of a row and never reused for it; 0 means
+// "no such row".
 using RowVersion = StrongType<struct RowVersionTag, std::uint64_t>;
 inline constexpr RowVersion kNoRow{0};
 
-// Rises each time the table is restored from an older copy of itself. Versions
-// are then given out again, so those of different epochs do not compare. 0 if
-// the table has never been restored, or does not report it.
+// Increases each time the table is restored from an older copy of itself.
+// Versions are then assigned again, so versions of different epochs cannot be
+// compared. 0 if the table has never been restored or does not report epochs.
 using TableEpoch = StrongType<struct TableEpochTag, std::uint64_t>;
 
-// A moment in the table's history, ordered by epoch first.
+// A position in the table's history, ordered by epoch first.
 struct TablePosition {
   TableEpoch epoch;
   RowVersion version;
@@ -37,11 +37,11 @@
 
 struct Row {
   std::string key;
-  // Any bytes.
+  // May contain any bytes.
   std::string value;
-  // Of a removed row: of its removal.
+  // For a removed row the version of its removal.
   RowVersion version;
-  // Only in answers to watches.
+  // Only set in replies to watches.
   bool is_removed = false;
 
   friend bool operator==(const Row&, const Row&) = default;
@@ -51,22 +51,22 @@
   std::string key;
 };
 
-// Rows whose key starts with `prefix`, in key order.
+// Reads the rows whose key starts with `prefix`, in key order.
 struct TableScan {
   std::string prefix;
 };
 
-// Answered with the changes of rows whose key starts with `prefix` as soon as
-// one is newer than `after`, or with none once `wait` has passed. kHistoryLost
-// if the table no longer has the changes since `after`; a scan then shows the
-// current rows.
+// Waits for changes of rows whose key starts with `prefix`. Answered as soon as
+// a change is newer than `after`, or without rows once `wait` has passed.
+// kHistoryLost means that the table no longer has the changes since `after`; a
+// scan then returns the current rows.
 struct TableWatch {
   std::string prefix;
   RowVersion after;
   Duration wait{};
 };
 
-// The row has this version (kNoRow: does not exist).
+// Requires that the row has this version (kNoRow: does not exist).
 struct RowCondition {
   std::string key;
   RowVersion version;
@@ -77,7 +77,8 @@
   std::string value;
 };
 
-// All conditions hold and all writes take effect at one moment, or none does.
+// Atomic transaction: if all conditions hold, all writes take effect at once;
+// otherwise none does.
 struct TableTransact {
   std::vector<RowCondition> conditions;
   std::vector<RowPut> puts;
@@ -91,12 +92,12 @@
   kOk,
   // A condition did not hold; nothing was written.
   kConditionFailed,
-  // No reply, or one that says nothing: a transaction may or may not have
-  // taken effect, and only reading back tells.
+  // No reply, or an inconclusive one: a transaction may or may not have taken
+  // effect, and only reading back shows which.
   kUnknown,
-  // Certainly without effect (the connection was refused).
+  // Certainly had no effect (the connection was refused).
   kUnavailable,
-  // Only of a watch: read the row again.
+  // Only for a watch: read the rows again.
   kHistoryLost,
 };
 
@@ -108,10 +109,10 @@
   // values. Transact with kConditionFailed: the current rows of the conditions
   // that failed.
   std::vector<Row> rows;
-  // Reads and watches: the newest version of any row of the table that the
-  // reply takes into account; 0 if not reported. A watch continues from it.
+  // For reads and watches: the newest version of any row of the table that the
+  // reply reflects; 0 if not reported. A watch continues from it.
   RowVersion as_of{};
-  // In which the table answered; 0 without an answer.
+  // The epoch in which the table replied; 0 without a reply.
   TableEpoch epoch{};
 };
 
--- a/source/unit_tests/core/store/fake_object_store.h
+++ b/source/unit_tests/core/store/fake_object_store.h
@@ -1,5 +1,5 @@
-// An object store in memory for unit tests of any module, with the faults of
-// the fake table.
+// An in-memory object store for unit tests of any module, with the same faults
+// as the fake table.
 
 #ifndef BULRUSHMOUNT_UNIT_TESTS_CORE_STORE_FAKE_OBJECT_STORE_H_
 #define BULRUSHMOUNT_UNIT_TESTS_CORE_STORE_FAKE_OBJECT_STORE_H_
@@ -15,7 +15,8 @@
 
 namespace bulrushmount {
 
-// A request takes effect when it is made; its reply waits for `DeliverNext`.
+// A request takes effect when it is made; its reply is delivered by
+// `DeliverNext`.
 class FakeObjectStore : public ObjectStore {
  public:
   void Get(const std::string& key, Callback callback) override;
@@ -26,7 +27,7 @@
                    std::string bytes,
                    Callback callback) override;
 
-  // Holds for each request from now on.
+  // Applies to every request from now on.
   void SetFault(TableFault fault) { m_fault = fault; }
 
   // Delivers the oldest reply; false if there is none.
@@ -40,7 +41,7 @@
     Callback callback;
   };
 
-  // Runs `apply` unless the fault keeps the request from taking effect.
+  // Runs `apply` unless the fault prevents the request from taking effect.
   void Submit(const std::function<ObjectReply()>& apply, Callback callback);
 
   InMemoryObjects m_objects;
--- a/source/unit_tests/core/store/fake_object_store_test.cc
+++ b/source/unit_tests/core/store/fake_object_store_test.cc
@@ -1,4 +1,5 @@
-// The faults of the fake object store: other modules' tests rely on them.
+// Tests of the faults of the fake object store, which other modules' tests rely
+// on.
 
 #include "unit_tests/core/store/fake_object_store.h"
 
--- a/source/unit_tests/core/store/fake_table_service.h
+++ b/source/unit_tests/core/store/fake_table_service.h
@@ -1,5 +1,5 @@
-// A table service in memory for unit tests of any module. A test decides when
-// each reply arrives and which faults happen on the way.
+// An in-memory table service for unit tests of any module. The test decides
+// when each reply arrives and which faults occur.
 
 #ifndef BULRUSHMOUNT_UNIT_TESTS_CORE_STORE_FAKE_TABLE_SERVICE_H_
 #define BULRUSHMOUNT_UNIT_TESTS_CORE_STORE_FAKE_TABLE_SERVICE_H_
@@ -19,27 +19,27 @@
   kDown,
   // Answers kUnknown, without effect.
   kSilent,
-  // Takes effect, and answers kUnknown.
+  // Takes effect and answers kUnknown.
   kAnswerLost,
 };
 
-// A request takes effect when it is submitted, as at a real table whose
-// answers are on their way; `DeliverNext` hands over the answer. Replies are
-// delivered in the order of submission.
+// A request takes effect when it is submitted, like at a real table whose reply
+// is in transit; `DeliverNext` delivers the reply. Replies are delivered in the
+// order of submission.
 class FakeTableService : public TableService {
  public:
   void Submit(TableRequest request, Callback callback) override;
 
-  // Holds for each request that `FailNext` does not cover.
+  // Applies to every request that `FailNext` does not cover.
   void SetFault(TableFault fault) { m_fault = fault; }
-  // The next `count` requests meet `fault`, after those of earlier calls.
-  // kNone spares a request from the fault set.
+  // The next `count` requests get `fault`, after those of earlier calls. kNone
+  // exempts a request from the fault of SetFault.
   void FailNext(TableFault fault, std::size_t count = 1);
 
   // Delivers the oldest reply; false if there is none.
   bool DeliverNext(TimePoint now);
-  // Delivers until nothing is pending, also the replies to requests that the
-  // callbacks submit. Returns the number delivered.
+  // Delivers replies until none is pending, including those to requests that
+  // the callbacks submit. Returns the number delivered.
   std::size_t DeliverAll(TimePoint now);
   std::size_t pending() const { return m_pending.size(); }
 
@@ -47,7 +47,7 @@
   std::size_t reads() const { return m_reads; }
   std::size_t writes() const { return m_writes; }
 
-  // For a test to set up and inspect rows; not counted, never failing.
+  // Lets a test set up and inspect rows; not counted and never failing.
   InMemoryTable& table() { return m_table; }
 
  private:
--- a/source/unit_tests/core/store/fake_table_service_test.cc
+++ b/source/unit_tests/core/store/fake_table_service_test.cc
@@ -1,4 +1,4 @@
-// The fake's own faults: other modules' tests rely on what each one means.
+// Tests of the faults of the fake table, which other modules' tests rely on.
 
 #include "unit_tests/core/store/fake_table_service.h"
 
@@ -48,7 +48,7 @@
                   true}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(FakeTableServiceTest, NextFaultsGoBeforeTheFaultSet) {
+TEST(FakeTableServiceTest, NextFaultsPrecedeTheSetFault) {
   FakeTableService service;
   service.SetFault(TableFault::kDown);
   service.FailNext(TableFault::kNone, 2);
--- a/source/unit_tests/core/store/http_table_service_test.cc
+++ b/source/unit_tests/core/store/http_table_service_test.cc
@@ -1,4 +1,5 @@
-// The table and object adapters against an in-process platform stand-in.
+// Tests of the table and object adapters against an in-process platform
+// stand-in.
 
 #include "core/store/http_table_service.h"
 
@@ -19,15 +20,15 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Only to end a test that hangs; no verdict depends on it.
-constexpr auto kGiveUp = seconds(30);
+// Only ends a test that hangs; no result depends on it.
+constexpr auto kTestTimeout = seconds(30);
 
 class HttpTableServiceTest : public testing::Test {
  protected:
   HttpTableServiceTest() {
     StartPlatform({"127.0.0.1", 0});
     m_settings.server = m_platform->endpoint();
-    m_settings.timeout = kGiveUp;
+    m_settings.timeout = kTestTimeout;
   }
 
   void StartPlatform(const Endpoint& listen) {
@@ -43,13 +44,13 @@
     Connect();
   }
 
-  // Runs until `is_done`; false if that never comes.
+  // Runs until `is_done` returns true; false after kTestTimeout.
   template <typename Predicate>
   bool RunUntil(Predicate is_done) {
-    const TimePoint give_up = Now() + kGiveUp;
+    const TimePoint deadline = Now() + kTestTimeout;
     m_io.restart();
-    while (!is_done() && Now() < give_up) {
-      m_io.run_one_until(give_up);
+    while (!is_done() && Now() < deadline) {
+      m_io.run_one_until(deadline);
     }
     return is_done();
   }
@@ -89,7 +90,7 @@
   return bytes;
 }
 
-TEST_F(HttpTableServiceTest, CarriesAnyBytesBothWays) {
+TEST_F(HttpTableServiceTest, RoundTripsAnyBytes) {
   Connect();
   const std::string key = "claims/" + AllBytes();
   const TableReply put = Call(Put(key, AllBytes()));
@@ -126,9 +127,9 @@
   EXPECT_LE(m_platform->server().connection_count(), 2U);
 }
 
-// Symptom: a booking is refused as "not run" though its claim stands.
-// Sequence: the table commits, then the connection closes before the answer.
-// Cause: a lost answer was taken for a request without effect.
+// Guards against refusing a booking as "not run" although its claim was
+// written: the table commits, and the connection closes before the response,
+// which must not count as a request without effect.
 TEST_F(HttpTableServiceTest, AnswerLostAfterCommitIsUnknown) {
   Connect();
   m_platform->faults().lose_answers = 1;
@@ -137,9 +138,8 @@
   EXPECT_EQ(Call(Put("b", "1")).status, TableStatus::kOk);
 }
 
-// Symptom: a caller hangs while the table is slow.
-// Sequence: the table commits at once and answers long after the time-out.
-// Cause: without a time-out of its own the adapter waits with the table.
+// Guards against a caller that hangs while the table is slow: the table commits
+// at once and responds long after the time-out, so the adapter needs its own.
 TEST_F(HttpTableServiceTest, DelayPastTheTimeoutIsUnknown) {
   ConnectWithin(milliseconds(50));
   m_platform->faults().delay = seconds(60);
@@ -147,10 +147,9 @@
   EXPECT_TRUE(IsInTable("a"));
 }
 
-// Symptom: the answer to one request is handed to another.
-// Sequence: a request times out, and its answer arrives while the next one
-// waits for its own.
-// Cause: the connection of a request that timed out was used again.
+// Guards against delivering the response to one request to another. A request
+// times out, and its response arrives while the next request waits, so the
+// connection of a timed-out request must not be reused.
 TEST_F(HttpTableServiceTest, LateAnswerNeverReachesTheNextRequest) {
   m_settings.max_connections = 1;
   m_platform->table().Apply(Put("a", "1"));
@@ -160,36 +159,34 @@
   EXPECT_EQ(Call(TableGet{"a"}).status, TableStatus::kUnknown);
   m_platform->faults().delay = Duration::zero();
   TableReply reply = Call(TableGet{"b"});
-  const TimePoint give_up = Now() + kGiveUp;
-  while (reply.status != TableStatus::kOk && Now() < give_up) {
+  const TimePoint deadline = Now() + kTestTimeout;
+  while (reply.status != TableStatus::kOk && Now() < deadline) {
     reply = Call(TableGet{"b"});
   }
   ASSERT_EQ(reply.rows.size(), 1U);
   EXPECT_EQ(reply.rows[0].key, "b");
 }
 
-// Symptom: nodes treat each claim as unknown for as long as the table is off.
-// Sequence: nothing listens at the table's address.
-// Cause: a refused connection carried no byte, so it certainly had no effect.
+// Guards against treating every claim as unknown while nothing listens at the
+// table's address: a refused connection carried no byte, so the request
+// certainly had no effect.
 TEST_F(HttpTableServiceTest, RefusedConnectionIsUnavailable) {
   m_platform.reset();
   Connect();
   EXPECT_EQ(Call(Put("a", "1")).status, TableStatus::kUnavailable);
 }
 
-TEST_F(HttpTableServiceTest, TablesOwnWordOfDoingNothingIsUnavailable) {
+TEST_F(HttpTableServiceTest, ReplyThatNothingWasDoneIsUnavailable) {
   Connect();
   m_platform->faults().is_down = true;
   EXPECT_EQ(Call(Put("a", "1")).status, TableStatus::kUnavailable);
   EXPECT_FALSE(IsInTable("a"));
 }
 
-// Symptom: requests pile up behind a silent table and are called unknown
-// though they never left the node.
-// Sequence: one connection waits for a silent table, a second request waits
-// for the connection until its time-out.
-// Cause: waiting for a connection was not told apart from waiting for an
-// answer.
+// Guards against reporting requests as unknown that never left the node. One
+// connection waits for a silent table, and a second request waits for the
+// connection until its time-out; waiting for a connection is not waiting for a
+// response.
 TEST_F(HttpTableServiceTest, TimeoutWhileWaitingForAConnectionIsUnavailable) {
   m_settings.max_connections = 1;
   m_platform->faults().is_silent = true;
@@ -203,20 +200,19 @@
     second = reply.status;
   });
   ASSERT_TRUE(RunUntil([&] { return m_platform->counters().writes == 1; }));
-  // Both time-outs pass while the node does nothing, so neither request's end
-  // can lend its connection to the other.
+  // Both time-outs expire while the node is idle, so neither request can pass
+  // its connection on to the other.
   std::this_thread::sleep_until(Now() + 2 * m_settings.timeout);
   EXPECT_TRUE(RunUntil([&] { return first && second; }));
   EXPECT_EQ(first, TableStatus::kUnknown);
   EXPECT_EQ(second, TableStatus::kUnavailable);
 }
 
-// Symptom: after each restart of the table the first write of each connection
-// ends unknown.
-// Sequence: a request finishes, the table restarts, the next request takes the
-// idle connection that the old table closed.
-// Cause: the close was there to be read before the request was written.
-TEST_F(HttpTableServiceTest, RestartedTableCostsNoUnknown) {
+// Guards against an unknown result of the first write of each connection after
+// a restart of the table. A request finishes, the table restarts, and the next
+// request takes the idle connection that the old table closed; the close can be
+// detected before the request is written.
+TEST_F(HttpTableServiceTest, RestartOfTheTableCausesNoUnknown) {
   Connect();
   ASSERT_EQ(Call(Put("a", "1")).status, TableStatus::kOk);
   const Endpoint endpoint = m_platform->endpoint();
@@ -227,7 +223,7 @@
   EXPECT_EQ(Call(Put("b", "1")).status, TableStatus::kOk);
 }
 
-TEST_F(HttpTableServiceTest, ObjectsPutOnceStay) {
+TEST_F(HttpTableServiceTest, PutIfAbsentKeepsAnExistingObject) {
   HttpObjectStore store(m_io, m_settings);
   std::optional<ObjectReply> reply;
   const auto keep = [&](TimePoint, ObjectReply received) {
--- a/source/unit_tests/core/store/in_memory_table_test.cc
+++ b/source/unit_tests/core/store/in_memory_table_test.cc
@@ -1,4 +1,4 @@
-// InMemoryTable against a naive table, over random command sequences.
+// Compares InMemoryTable with a naive model over random command sequences.
 
 #include "core/store/in_memory_table.h"
 
@@ -12,7 +12,7 @@
 namespace bulrushmount {
 namespace {
 
-// One unsorted list of rows; every question is answered by looking at all.
+// One unsorted list of rows; every query examines all of them.
 class NaiveTable {
  public:
   std::vector<Row> Matching(const std::string& prefix) const {
@@ -61,7 +61,7 @@
   return *rc::gen::element<std::string>("", "a", "ab", "b", "b\xff", "c");
 }
 
-// The current version, or one that never was, or "no such row".
+// The current version, a version that never existed, or kNoRow.
 RowVersion AnyVersion(const NaiveTable& naive, const std::string& key) {
   const RowVersion current = naive.VersionOf(key);
   return *rc::gen::element(current, current, kNoRow, RowVersion{1000000});
@@ -120,7 +120,7 @@
   }
 }
 
-TEST(InMemoryTableTest, FailedConditionsTellTheCurrentRows) {
+TEST(InMemoryTableTest, FailedConditionsReturnTheCurrentRows) {
   InMemoryTable table;
   table.Apply(TableTransact{{}, {{"a", "1"}, {"b", "2"}}, {}});
   const Row current = table.Apply(TableGet{"a"}).rows.at(0);
