--- a/source/core/common/datagram.h
+++ b/source/core/common/datagram.h
@@ -1,4 +1,5 @@
-// How decision modules send small control messages to other nodes over UDP.
+// Interface through which decision modules send small control messages to other
+// nodes over UDP.
 
 #ifndef BULRUSHMOUNT_CORE_COMMON_DATAGRAM_H_
 #define BULRUSHMOUNT_CORE_COMMON_DATAGRAM_H_
@@ -11,8 +12,9 @@
 
 namespace bulrushmount {
 
-// The first byte of each datagram. The numbers travel: add at the end, never
-// renumber. A node ignores kinds that it does not know, so releases mix.
+// The first byte of each datagram. The values are sent on the wire: append new
+// ones, never renumber. A node ignores unknown kinds, so different releases
+// interoperate.
 enum class DatagramKind : std::uint8_t {
   kGossip = 1,
   kLimits = 2,
@@ -20,10 +22,12 @@
   kConfig = 4,
 };
 
-// With the kind's byte, a datagram stays below what every path carries whole.
+// With the byte of the kind, a datagram is 1,200 bytes and so fits any network
+// path without fragmentation.
 inline constexpr std::size_t kMaxDatagramPayload = 1199;
 
-// Sending may lose, repeat or reorder; a module must bear all three.
+// Datagrams may be lost, duplicated or reordered; every module must handle all
+// three.
 class DatagramPort {
  public:
   virtual ~DatagramPort() = default;
--- a/source/core/common/endpoint.h
+++ b/source/core/common/endpoint.h
@@ -1,4 +1,4 @@
-// An IP address with a port, as settings, gossip and logs carry it.
+// An IP address and port, as used in settings, gossip and logs.
 
 #ifndef BULRUSHMOUNT_CORE_COMMON_ENDPOINT_H_
 #define BULRUSHMOUNT_CORE_COMMON_ENDPOINT_H_
@@ -23,7 +23,8 @@
 // "127.0.0.1:80", or "[::1]:80" for IPv6.
 std::string ToString(const Endpoint& endpoint);
 
-// Accepts only an IP number and a port from 1 to 65535; empty for all else.
+// Accepts only a numeric IP address and a port from 1 to 65535; empty
+// otherwise.
 std::optional<Endpoint> ParseEndpoint(std::string_view text);
 
 }  // namespace bulrushmount
--- a/source/core/common/hex.h
+++ b/source/core/common/hex.h
@@ -1,4 +1,4 @@
-// Ids and digests as text, for logs, pages and keys of rows.
+// Formats ids and digests for logs, status pages and row keys.
 
 #ifndef BULRUSHMOUNT_CORE_COMMON_HEX_H_
 #define BULRUSHMOUNT_CORE_COMMON_HEX_H_
@@ -10,7 +10,8 @@
 
 namespace bulrushmount {
 
-// Sixteen lower-case hexadecimal digits, so that texts sort as numbers do.
+// Sixteen lower-case hexadecimal digits, so that the texts sort like the
+// numbers.
 std::string ToHex(std::uint64_t number);
 std::string ToHex(NodeId id);
 
--- a/source/core/common/log_buffer.cc
+++ b/source/core/common/log_buffer.cc
@@ -13,21 +13,21 @@
 
 namespace {
 
-// A pipe that is writable takes this much without waiting (PIPE_BUF).
+// A writable pipe accepts this many bytes without blocking (PIPE_BUF).
 constexpr std::size_t kWriteSize = 4096;
-// Buffered lines go out once this much waits.
+// Buffered lines are written once this many bytes are buffered.
 constexpr std::size_t kFlushSize = 4096;
-// What a reader may be behind: some seconds of a busy node's lines.
-constexpr std::size_t kMaxWaiting = 262'144;
-// Lines beyond are dropped, so that a storm of events costs neither the
-// processor nor the disk of whoever reads. A busy node of 200 calls a second
-// writes about 60 KB a second.
+// How far a reader may lag behind: some seconds of a busy node's lines.
+constexpr std::size_t kMaxBufferedBytes = 262'144;
+// Rate limit of the log. Lines beyond it are dropped, so that a burst of events
+// does not use up CPU time here or disk space at the reader. A busy node at 200
+// calls per second writes about 60 KB per second.
 constexpr double kBytesPerSecond = 131'072;
 constexpr double kBurstBytes = 524'288;
 
-// Lines that were dropped are told together: a line for each few would only add
-// to what is too much.
-constexpr std::int64_t kTellPeriodNs = 1'000'000'000;
+// Dropped lines are reported at most once per period: more frequent reports
+// would add to the overload.
+constexpr std::int64_t kReportPeriodNs = 1'000'000'000;
 
 std::int64_t SteadyNanoseconds() {
   return std::chrono::steady_clock::now().time_since_epoch().count();
@@ -42,28 +42,28 @@
 }
 
 void LogBuffer::Add(std::string_view line) {
-  const bool has_room = m_waiting.size() + line.size() <= kMaxWaiting;
+  const bool has_room = m_buffered.size() + line.size() <= kMaxBufferedBytes;
   if (!has_room || !TakeCredit(line.size())) {
     ++m_dropped;
     ++m_dropped_total;
     return;
   }
   ReportDropped();
-  m_waiting += line;
-  if (!m_is_buffered || m_waiting.size() >= kFlushSize)
+  m_buffered += line;
+  if (!m_is_buffered || m_buffered.size() >= kFlushSize)
     Flush();
 }
 
 void LogBuffer::Flush() {
   std::size_t written = 0;
-  while (written < m_waiting.size() && IsWritable()) {
-    const std::size_t size = std::min(kWriteSize, m_waiting.size() - written);
-    const ssize_t taken = ::write(m_file, m_waiting.data() + written, size);
+  while (written < m_buffered.size() && IsWritable()) {
+    const std::size_t size = std::min(kWriteSize, m_buffered.size() - written);
+    const ssize_t taken = ::write(m_file, m_buffered.data() + written, size);
     if (taken <= 0)
       break;
     written += static_cast<std::size_t>(taken);
   }
-  m_waiting.erase(0, written);
+  m_buffered.erase(0, written);
 }
 
 bool LogBuffer::TakeCredit(std::size_t size) {
@@ -81,10 +81,10 @@
 
 void LogBuffer::ReportDropped() {
   const std::int64_t now = SteadyNanoseconds();
-  if (m_dropped == 0 || now - m_reported_at < kTellPeriodNs)
+  if (m_dropped == 0 || now - m_reported_at < kReportPeriodNs)
     return;
   m_reported_at = now;
-  m_waiting +=
+  m_buffered +=
       fmt::format("level=warning event=log.dropped lines={}\n", m_dropped);
   m_dropped = 0;
 }
--- a/source/core/common/logging.h
+++ b/source/core/common/logging.h
@@ -1,6 +1,6 @@
-// Structured logs: one line of key=value pairs for each event, on standard
-// output. Writing never blocks: a reader that stops reading costs lines, which
-// are counted and told, and never a request.
+// Structured logs: one line of key=value pairs per event, on standard output.
+// Writing never blocks: if the reader stops reading, lines are dropped, counted
+// and reported, and requests are not delayed.
 
 #ifndef BULRUSHMOUNT_CORE_COMMON_LOGGING_H_
 #define BULRUSHMOUNT_CORE_COMMON_LOGGING_H_
@@ -19,16 +19,17 @@
 void SetLogLevel(LogLevel level);
 bool IsLogged(LogLevel level);
 
-// Buffered lines go out with FlushLog, or when enough of them are there; else
-// each goes out at once. Off at first.
+// If buffered, lines are written by FlushLog or when enough of them have
+// accumulated; otherwise each line is written immediately. Off by default.
 void SetLogBuffered(bool is_buffered);
 
-// Writes what the reader takes without waiting. To be called every now and then
-// while lines are buffered, and before the process ends.
+// Writes as many buffered lines as possible without blocking. Must be called
+// periodically while lines are buffered, and before the process ends.
 void FlushLog();
 
-// Quoted when it holds a space, a quote, '=' or a control character, so that
-// one event always is one line and a caller's bytes cannot forge another.
+// Quotes a value that contains a space, a quote, '=' or a control character, so
+// that an event is always one line and bytes sent by a caller cannot forge
+// another one.
 std::string QuoteLogValue(std::string_view value);
 
 // Written when it goes out of scope:
--- a/source/core/common/outcome.h
+++ b/source/core/common/outcome.h
@@ -1,5 +1,5 @@
-// The three outcomes of a call, and the reasons for a truthful refusal. They
-// are values that travel between nodes and to the caller.
+// The three outcomes of a call, and the reasons for a call without a target's
+// response. Both are sent between nodes and to the caller.
 
 #ifndef BULRUSHMOUNT_CORE_COMMON_OUTCOME_H_
 #define BULRUSHMOUNT_CORE_COMMON_OUTCOME_H_
@@ -13,16 +13,16 @@
 namespace bulrushmount {
 
 enum class Outcome : std::uint8_t {
-  // The target's whole answer was relayed.
+  // The target's complete response was relayed.
   kAnswered,
-  // No byte of the request was handed to a target, or the target shed it.
+  // No byte of the request was sent to a target, or the target shed it.
   kNotRun,
-  // Handed over, and no whole answer came: it may have run.
+  // The request was sent, and no complete response arrived: it may have run.
   kUnknown,
 };
 
-// Why a call did not get a target's answer. The numbers travel between nodes:
-// add at the end, never renumber.
+// Why a call did not get a target's response. The values are sent between
+// nodes: append new ones, never renumber.
 enum class Reason : std::uint8_t {
   kNone = 0,
   // Faults of the request.
@@ -48,32 +48,33 @@
   kConfigurationUnknown = 18,
   kNodeUnreachable = 19,
   kRetryBudgetSpent = 20,
-  // A repeat of a keyed request whose first run has no answer to give.
+  // A repeated request with an idempotency key whose first execution has no
+  // response to return.
   kInProgress = 21,
   kEarlierOutcomeUnknown = 22,
-  // Handed over, and then this happened.
+  // Failures after the request was sent to a target.
   kTargetLost = 23,
   kNodeLost = 24,
   kDeadlineExceeded = 25,
   kStalled = 26,
   kCallerDisconnected = 27,
   kShutdownForced = 28,
-  // State of the system: it was running when a target went down, and may run
-  // only alone until that is settled. Not convicted, so it is worth coming
-  // back.
+  // State of the system: the request was running when a target failed, and may
+  // only run alone until its part in that is known. It is not quarantined, so a
+  // retry is worthwhile.
   kSuspect = 29,
   // Faults of the request.
   kNoRoute = 30,
   kBodyTooLarge = 31,
   // The caller took too long to send its request.
   kRequestTooSlow = 32,
-  // State of the system. The target works slower than the entry would accept
-  // elsewhere: another one may be faster.
+  // State of the system: the target is slower than what the entry node would
+  // accept elsewhere; another one may be faster.
   kSlowTarget = 33,
-  // Another target has the address; it did not run the request.
+  // Another target has taken over the address; it did not run the request.
   kWrongTarget = 34,
-  // State of the system: of calls like it, owners refuse too many for want of
-  // room, so that none was asked.
+  // State of the system: owners currently refuse too many similar calls for
+  // lack of capacity, so none was asked.
   kThrottled = 35,
   // State of the system: the operator has evacuated the target's zone.
   kEvacuated = 36,
@@ -81,13 +82,13 @@
 
 inline constexpr Reason kLastReason = Reason::kEvacuated;
 
-// How a reason is told to callers.
+// How a reason is reported to callers.
 struct ReasonTraits {
   // The value of `Bulrushmount-Reason`.
   std::string_view token;
-  // The HTTP status that the caller gets.
+  // The HTTP status of the response to the caller.
   int status = 0;
-  // When to come back, if coming back can help; sent as `Retry-After`.
+  // Delay before a retry, if a retry can succeed; sent as `Retry-After`.
   std::optional<Duration> retry_after;
 };
 
@@ -96,7 +97,7 @@
 // The value of `Bulrushmount-Outcome`.
 std::string_view ToToken(Outcome outcome);
 
-// The reverse of `TraitsOf(reason).token`; empty if there is none such.
+// The reverse of `TraitsOf(reason).token`; empty for an unknown token.
 std::optional<Reason> ReasonFromToken(std::string_view token);
 
 }  // namespace bulrushmount
--- a/source/core/common/random.h
+++ b/source/core/common/random.h
@@ -1,5 +1,5 @@
-// The random source that decision modules take as an argument, so that a test
-// can seed it.
+// The random source that is passed to decision modules, so that a test can seed
+// it.
 
 #ifndef BULRUSHMOUNT_CORE_COMMON_RANDOM_H_
 #define BULRUSHMOUNT_CORE_COMMON_RANDOM_H_
--- a/source/core/common/strong_type.h
+++ b/source/core/common/strong_type.h
@@ -1,5 +1,5 @@
-// Strong types: an id or a unit that cannot be mixed up with another one of
-// the same representation.
+// Strong types: ids and units with the same representation that cannot be
+// confused with one another.
 
 #ifndef BULRUSHMOUNT_CORE_COMMON_STRONG_TYPE_H_
 #define BULRUSHMOUNT_CORE_COMMON_STRONG_TYPE_H_
@@ -13,8 +13,8 @@
 
 namespace bulrushmount {
 
-// A `Rep` that compares, hashes and prints like one, but converts to nothing.
-// `Tag` is an empty type that names the meaning.
+// Wraps a `Rep` with its comparison, hash and formatting, but without implicit
+// conversions. `Tag` is an empty type that identifies the meaning.
 template <typename Tag, typename Rep>
 class StrongType {
  public:
@@ -25,8 +25,8 @@
 
   constexpr const Rep& value() const { return m_value; }
 
-  // clang-tidy 14 takes the defaulted comparison with 0 for a null pointer, and
-  // says so of the second line.
+  // clang-tidy 14 takes the 0 in the defaulted comparison for a null pointer,
+  // and reports it for the second line.
   friend constexpr auto operator<=>(const StrongType&,
                                     const StrongType&) = default;  // NOLINT
   friend constexpr bool operator==(const StrongType&,
--- a/source/core/common/tcp_options.cc
+++ b/source/core/common/tcp_options.cc
@@ -10,15 +10,16 @@
 
 namespace {
 
-// Silence before the first probe, between probes, and probes without an answer.
+// Idle time before the first keep-alive probe, interval between probes, and
+// number of unanswered probes.
 constexpr int kIdleSeconds = 1;
 constexpr int kIntervalSeconds = 1;
 constexpr int kProbes = 2;
-// The same for bytes that were sent and not acknowledged.
+// Time-out for sent bytes that are not acknowledged.
 constexpr int kUnacknowledgedMs = 3000;
 
 void Set(int socket, int level, int name, int value) {
-  // A kernel without the option keeps its own times, which are longer.
+  // A kernel without the option keeps its own longer time-outs.
   (void)::setsockopt(socket, level, name, &value, sizeof(value));
 }
 
--- a/source/core/common/tcp_options.h
+++ b/source/core/common/tcp_options.h
@@ -1,16 +1,16 @@
-// Options of TCP sockets that the standard library's own names lack.
+// TCP socket options that the socket library has no names for.
 
 #ifndef BULRUSHMOUNT_CORE_COMMON_TCP_OPTIONS_H_
 #define BULRUSHMOUNT_CORE_COMMON_TCP_OPTIONS_H_
 
 namespace bulrushmount {
 
-// Has the kernel end a connection whose other end has been silent for about
-// three seconds, also while nothing is sent on it.
+// Makes the kernel close a connection whose peer has been silent for about
+// three seconds, even while nothing is sent on it.
 //
-// What goes wrong without it: a connection can go dead without a word, behind a
-// cut or a host that lost its power. One that waits for the other end to speak
-// waits for ever; one would see a node that no longer hears of changes.
+// Without it, a connection that is cut off or whose peer has lost power can
+// stay open without any error, and a reader of it waits for ever: for example,
+// a node that watches the table would no longer learn of configuration changes.
 void DetectDeadPeer(int socket);
 
 }  // namespace bulrushmount
--- a/source/core/common/time.h
+++ b/source/core/common/time.h
@@ -1,5 +1,5 @@
-// Time as the decision modules see it. They never read a clock: the time is an
-// argument, so that a test can choose it.
+// Time types. Decision modules (modules that make decisions and do no I/O)
+// never read a clock: the time is passed in, so that a test controls it.
 
 #ifndef BULRUSHMOUNT_CORE_COMMON_TIME_H_
 #define BULRUSHMOUNT_CORE_COMMON_TIME_H_
@@ -10,11 +10,11 @@
 
 using Duration = std::chrono::nanoseconds;
 
-// Monotonic and local to a node; it goes on while the process is stopped. It
-// is never sent to another node: durations are.
+// Monotonic and local to a node; it advances while the process is stopped.
+// Never sent to another node: only durations are sent.
 using TimePoint = std::chrono::steady_clock::time_point;
 
-// For the daemons and stand-ins. Decision modules take a `TimePoint`.
+// For daemons and stand-ins only; decision modules take a `TimePoint`.
 inline TimePoint Now() {
   return std::chrono::steady_clock::now();
 }
--- a/source/unit_tests/core/common/log_buffer_test.cc
+++ b/source/unit_tests/core/common/log_buffer_test.cc
@@ -1,4 +1,5 @@
-// Log lines on their way out: whole while somebody reads, and never waited for.
+// Tests of `core/common/log_buffer.h`: lines are written whole, and writing
+// never blocks.
 
 #include "core/common/log_buffer.h"
 
@@ -49,11 +50,10 @@
   EXPECT_EQ(ReadSome(), "one\ntwo\n");
 }
 
-// Symptom: a node answers nobody any more although it is well. Sequence:
-// whoever reads its standard output stops; the pipe fills; the node writes a
-// line and waits. Cause: a write that blocks. Here such a write would hang the
-// test.
-TEST_F(LogBufferTest, AReaderThatStopsCostsLinesAndNothingElse) {
+// Guards against a healthy node that stops responding because it blocks on a
+// log line: whoever reads its standard output stops, and the pipe fills up. A
+// blocking write would hang this test.
+TEST_F(LogBufferTest, StoppedReaderLosesLinesWithoutBlocking) {
   LogBuffer buffer(m_pipe[1]);
   buffer.SetBuffered(true);
   const std::string line(199, 'x');
@@ -67,7 +67,7 @@
     if (text.size() % 200 == 0 && reads > 20)
       break;
   }
-  // What did come came in whole lines.
+  // The lines that were written are complete.
   for (std::size_t at = 0; at + 200 <= text.size(); at += 200)
     ASSERT_EQ(text.substr(at, 200), line + "\n");
 }
--- a/source/unit_tests/core/common/logging_test.cc
+++ b/source/unit_tests/core/common/logging_test.cc
@@ -14,9 +14,8 @@
 
 class QuoteLogValueTest : public testing::TestWithParam<QuoteCase> {};
 
-// Symptom: a log shows an event that never happened. Sequence: a caller puts a
-// line break into a header, and the header's value is logged. Cause: the value
-// was written as it came.
+// Guards against forged events in the log: a caller puts a line break into a
+// header whose value is logged.
 TEST_P(QuoteLogValueTest, KeepsOneEventOnOneLine) {
   EXPECT_EQ(QuoteLogValue(GetParam().value), GetParam().expected);
 }
--- a/source/unit_tests/core/common/outcome_test.cc
+++ b/source/unit_tests/core/common/outcome_test.cc
@@ -14,10 +14,10 @@
   }
 }
 
-// Symptom: a caller whose request may run in a second stays away for a minute.
-// Sequence: its request is suspect, and another copy of it runs just now.
-// Cause: it is told the same as the caller of a convicted request.
-TEST(OutcomeTest, ASuspectMayComeBackSoonerThanAConvict) {
+// Guards against telling the caller of a suspect request, which may run in a
+// second when another copy of it has finished, to wait a minute like the caller
+// of a quarantined one.
+TEST(OutcomeTest, SuspectRequestsMayRetrySoonerThanQuarantinedOnes) {
   const ReasonTraits& suspect = TraitsOf(Reason::kSuspect);
   EXPECT_EQ(suspect.token, "suspect");
   EXPECT_EQ(suspect.status, 503);
--- a/source/unit_tests/core/common/virtual_time.h
+++ b/source/unit_tests/core/common/virtual_time.h
@@ -1,5 +1,5 @@
-// A clock that stands until a test moves it, and the steps due at times of its.
-// Networks of nodes in one process run on it: a datagram on its way or a timer
+// A clock that only advances when a test moves it, with a queue of scheduled
+// steps. Simulated networks of nodes run on it: each datagram delivery or timer
 // is a step.
 
 #ifndef BULRUSHMOUNT_UNIT_TESTS_CORE_COMMON_VIRTUAL_TIME_H_
@@ -21,19 +21,19 @@
 
   TimePoint now() const { return m_now; }
 
-  // Steps due at one time run in the order of these calls.
+  // Steps scheduled for the same time run in the order of these calls.
   void At(TimePoint time, Step step) { m_steps.emplace(time, std::move(step)); }
   void After(Duration delay, Step step) { At(m_now + delay, std::move(step)); }
 
-  // When the first step is due; TimePoint::max() if there is none.
+  // Time of the first step; TimePoint::max() if there is none.
   TimePoint NextStep() const {
     return m_steps.empty() ? TimePoint::max() : m_steps.begin()->first;
   }
 
-  // Runs no step; a time that has passed leaves the clock as it is.
+  // Advances the clock without running steps; ignores a time in the past.
   void MoveTo(TimePoint time) { m_now = std::max(m_now, time); }
 
-  // Runs the first step if it is due by now; false if none is.
+  // Runs the first step if it is due; false if none is.
   bool RunDueStep() {
     if (NextStep() > m_now)
       return false;
