--- a/source/core/settings/daemon_settings.cc
+++ b/source/core/settings/daemon_settings.cc
@@ -21,15 +21,16 @@
   return boost::asio::ip::make_address(endpoint.ip);
 }
 
-// Overwrites the default exactly if the key is there and right.
+// Overwrites the default only if the key is present and valid.
 template <typename Value>
 void Assign(std::optional<Value> read, Value& setting) {
   if (read.has_value())
     setting = std::move(*read);
 }
 
-// An address that other nodes are told: with a wildcard they would reach
-// themselves, and the node would look dead to all of them.
+// Reads an address that is advertised to other nodes. With a wildcard address
+// they would connect to themselves, and this node would appear dead to all of
+// them.
 void ReadAdvertised(const YamlNode* node,
                     Endpoint& setting,
                     YamlFaults& faults) {
@@ -41,7 +42,7 @@
   setting = *endpoint;
 }
 
-// Two listeners at one address: the second could not bind.
+// Reports two listeners with the same address, as the second could not bind.
 void CheckDistinct(const AddressSettings& addresses,
                    YamlPosition position,
                    YamlFaults& faults) {
@@ -51,7 +52,7 @@
   for (std::size_t i = 0; i < listeners.size(); ++i) {
     for (std::size_t j = 0; j < i; ++j) {
       if (listeners[i].port != 0 && listeners[i] == listeners[j])
-        faults.Add(position, fmt::format("address {} stands twice",
+        faults.Add(position, fmt::format("address {} is used twice",
                                          ToString(listeners[i])));
     }
   }
@@ -132,7 +133,8 @@
   const YamlNode* const suspicion = map.Optional("suspicion_time");
   Assign(ReadDuration(suspicion, {milliseconds(10), minutes(10)}, faults),
          settings.suspicion_time);
-  // A member would be declared dead before it could refute the suspicion.
+  // Otherwise a member would be declared dead before it could refute a
+  // suspicion.
   if (settings.suspicion_time < settings.heartbeat_period)
     faults.Add(suspicion != nullptr ? suspicion->position : node->position,
                "suspicion_time is below heartbeat_period");
@@ -235,7 +237,7 @@
   map.Finish();
 }
 
-// An empty list stands for any zone, as if the key were missing.
+// An empty list means any zone, as if the key were missing.
 std::vector<AvailabilityZone> ReadZones(const YamlNode* node,
                                         YamlFaults& faults) {
   std::vector<AvailabilityZone> zones;
--- a/source/core/settings/daemon_settings.h
+++ b/source/core/settings/daemon_settings.h
@@ -1,4 +1,4 @@
-// The settings file of `bulrushmountd`, typed, with every default in one place.
+// The typed settings of `bulrushmountd`, with all defaults in one place.
 
 #ifndef BULRUSHMOUNT_CORE_SETTINGS_DAEMON_SETTINGS_H_
 #define BULRUSHMOUNT_CORE_SETTINGS_DAEMON_SETTINGS_H_
@@ -19,25 +19,26 @@
 
 namespace bulrushmount {
 
-// Where the node listens.
+// The addresses that the node listens on.
 struct AddressSettings {
-  // Callers, outside ones and the target beside the node.
+  // For callers: external ones and the target next to the node.
   Endpoint caller;
-  // Other nodes' streams (TCP) and datagrams (UDP). Told to other nodes, so
-  // never a wildcard.
+  // For other nodes' streams (TCP) and datagrams (UDP). Advertised to other
+  // nodes, so never a wildcard.
   Endpoint stream;
   Endpoint gossip;
-  // Where other nodes reach `stream`, if a forwarder stands before it; empty:
-  // at `stream` itself.
+  // The address at which other nodes reach `stream` if there is a forwarder in
+  // front of it; `stream` itself if empty.
   std::optional<Endpoint> advertised_stream;
-  // Announcements of the target beside the node.
+  // For announcements of the target next to the node.
   Endpoint target;
-  // Operators: contracts, status, metrics.
+  // For operators: contracts, status, metrics.
   Endpoint operators;
-  // Metrics, for anybody who reaches it; empty: only on the operators' one.
+  // Metrics without authentication; if empty, metrics are only served at the
+  // operators' address.
   std::optional<Endpoint> metrics;
-  // Whether the node is ready, for a platform that asks; empty: only on the
-  // operators' one.
+  // Readiness checks of the platform; if empty, they are only served at the
+  // operators' address.
   std::optional<Endpoint> readiness;
 
   friend bool operator==(const AddressSettings&,
@@ -47,19 +48,20 @@
 struct PlatformSettings {
   Endpoint table;
   Endpoint objects;
-  // After it a request without a reply counts as unknown.
+  // After this time a request without a reply has an unknown result.
   Duration timeout = std::chrono::seconds(1);
 
   friend bool operator==(const PlatformSettings&,
                          const PlatformSettings&) = default;
 };
 
-// Bounds on what one connection may take of the node's memory.
+// Limits on connections and on the memory that each may use.
 struct TransportSettings {
-  // A larger request head is refused. Not above what a node stream carries.
+  // Larger request heads are refused. Must not exceed what a node stream can
+  // carry.
   std::uint32_t max_head_bytes = 16'384;
-  // Of a request body that the node keeps so that it can send it again. The
-  // first 16 KB are kept in any case, since the fingerprint covers them.
+  // Maximum part of a request body that the node keeps in order to send it
+  // again. The first 16 KB are always kept, since the fingerprint covers them.
   std::uint32_t max_buffered_body_bytes = 65'536;
   std::uint32_t max_caller_connections = 4'096;
   // See CallerLimits.
@@ -70,7 +72,7 @@
                          const TransportSettings&) = default;
 };
 
-// The target beside the node, as far as it is known before it says a word.
+// What is known of the target next to the node before its first announcement.
 struct TargetSettings {
   ServiceName service;
 
@@ -83,22 +85,22 @@
   TargetSettings target;
   PlatformSettings platform;
   TransportSettings transport;
-  // Holds the bearer token of the operator address. Without one that address
-  // is a loopback address.
+  // File with the bearer token of the operator address. Without a token that
+  // address must be a loopback address.
   std::optional<std::string> operator_token_file;
   LogLevel log_level = LogLevel::kInfo;
-  // All but the id, which the daemon draws when it starts.
+  // All node settings except the id, which the daemon draws when it starts.
   NodeSettings node;
 };
 
 struct DaemonSettingsOrFaults {
   std::optional<DaemonSettings> settings;
-  // Empty exactly if there are settings.
+  // Empty if and only if there are settings.
   YamlFaults faults;
 };
 DaemonSettingsOrFaults TryParseDaemonSettings(std::string_view yaml);
 
-// Fails with a YamlFaults that lists every fault of the text.
+// On failure the error is a YamlFaults with every fault of the text.
 boost::leaf::result<DaemonSettings> ParseDaemonSettings(std::string_view yaml);
 
 }  // namespace bulrushmount
--- a/source/core/settings/yaml_parser.cc
+++ b/source/core/settings/yaml_parser.cc
@@ -1,4 +1,4 @@
-// `ParseYaml` of `yaml_reader.h`: turns yaml-cpp's events into nodes.
+// `ParseYaml` of `yaml_reader.h`: builds nodes from the events of yaml-cpp.
 
 #include <sstream>
 #include <utility>
@@ -22,8 +22,8 @@
                       static_cast<std::size_t>(mark.column) + 1};
 }
 
-// Builds the tree; its depth and node count stay below the bounds because an
-// event that passes one ends the parse.
+// Builds the tree. An event that exceeds the bound on depth or node count
+// throws and so ends the parse.
 class TreeBuilder : public YAML::EventHandler {
  public:
   explicit TreeBuilder(YamlFaults& faults) : m_faults(faults) {}
@@ -35,12 +35,12 @@
 
   void OnNull(const YAML::Mark& mark, YAML::anchor_t anchor) override {
     CheckAnchor(mark, anchor);
-    Place(NewNode(YamlNodeType::kNull, mark));
+    AddNode(NewNode(YamlNodeType::kNull, mark));
   }
 
   void OnAlias(const YAML::Mark& mark, YAML::anchor_t anchor) override {
     m_faults.Add(PositionOf(mark), "aliases are not accepted");
-    Place(NewNode(YamlNodeType::kNull, mark));
+    AddNode(NewNode(YamlNodeType::kNull, mark));
   }
 
   void OnScalar(const YAML::Mark& mark,
@@ -51,7 +51,7 @@
     CheckTag(mark, tag);
     YamlNode node = NewNode(YamlNodeType::kScalar, mark);
     node.scalar = value;
-    Place(std::move(node));
+    AddNode(std::move(node));
   }
 
   void OnSequenceStart(const YAML::Mark& mark,
@@ -73,7 +73,7 @@
  private:
   struct OpenNode {
     YamlNode node;
-    // Of a map: the key whose value comes next.
+    // For a map: the key whose value comes next.
     std::optional<YamlNode> key;
   };
 
@@ -111,10 +111,10 @@
   void Close() {
     YamlNode node = std::move(m_open.back().node);
     m_open.pop_back();
-    Place(std::move(node));
+    AddNode(std::move(node));
   }
 
-  void Place(YamlNode node) {
+  void AddNode(YamlNode node) {
     if (m_open.empty()) {
       m_root = std::move(node);
       return;
--- a/source/core/settings/yaml_reader.cc
+++ b/source/core/settings/yaml_reader.cc
@@ -20,7 +20,7 @@
   Duration length;
 };
 
-// Longer suffixes first where one ends in another.
+// A suffix that ends in another one comes before it.
 constexpr std::array<DurationUnit, 6> kDurationUnits{{
     {"ns", std::chrono::nanoseconds(1)},
     {"us", std::chrono::microseconds(1)},
@@ -30,7 +30,8 @@
     {"h", std::chrono::hours(1)},
 }};
 
-// Durations above lose whole nanoseconds in a double, and no setting needs one.
+// Larger durations cannot be represented exactly to the nanosecond in a double,
+// and no setting needs one.
 constexpr double kMaxDurationNs = 4e15;
 
 std::optional<double> ParseNumber(std::string_view text) {
@@ -270,7 +271,7 @@
     return std::nullopt;
   std::optional<Endpoint> endpoint = ParseEndpoint(*text);
   if (!endpoint.has_value())
-    faults.Add(node->position, "expected IP:PORT with an IP number");
+    faults.Add(node->position, "expected IP:PORT with a numeric IP address");
   return endpoint;
 }
 
--- a/source/core/settings/yaml_reader.h
+++ b/source/core/settings/yaml_reader.h
@@ -1,9 +1,9 @@
-// A YAML reader that lists every fault of a text at once, each with its line
-// and column. Contracts and settings share it.
+// A YAML reader that reports all faults of a text at once, each with its line
+// and column. Used for contracts and settings.
 //
-// The text may come from anybody who reaches the operator address, so its size,
-// its depth and its node count are bounded, and aliases, whose expansion is
-// exponential in the text, are refused.
+// The text may come from anyone who can reach the operator address, so its
+// size, depth and node count are bounded, and aliases, whose expansion can be
+// exponential in the size of the text, are refused.
 
 #ifndef BULRUSHMOUNT_CORE_SETTINGS_YAML_READER_H_
 #define BULRUSHMOUNT_CORE_SETTINGS_YAML_READER_H_
@@ -22,8 +22,8 @@
 
 namespace bulrushmount {
 
-// A node reads on the thread that serves calls, and the worst text of this
-// size takes it tens of milliseconds.
+// A node parses on the thread that serves calls, and the worst text of this
+// size takes tens of milliseconds.
 inline constexpr std::size_t kMaxYamlBytes = 65'536;
 inline constexpr std::size_t kMaxYamlDepth = 16;
 inline constexpr std::size_t kMaxYamlNodes = 10'000;
@@ -50,11 +50,11 @@
 
   bool empty() const { return faults.empty(); }
   void Add(YamlPosition position, std::string message);
-  // In the order of the text, each once.
+  // Sorts the faults by position and removes duplicates.
   void Sort();
 };
 
-// One line for each fault: "line 3, column 5: unknown key 'foo'".
+// One line per fault: "line 3, column 5: unknown key 'foo'".
 std::string ToString(const YamlFaults& faults);
 
 struct YamlEntry;
@@ -64,11 +64,11 @@
 struct YamlNode {
   YamlNodeType type = YamlNodeType::kNull;
   YamlPosition position;
-  // Of a scalar.
+  // Only for a scalar.
   std::string scalar;
-  // Of a sequence.
+  // Only for a sequence.
   std::vector<YamlNode> items;
-  // Of a map, in the order of the text.
+  // Only for a map, in the order of the text.
   std::vector<YamlEntry> entries;
 };
 
@@ -77,25 +77,27 @@
   YamlNode value;
 };
 
-// The only document of `text`. Adds to `faults` and returns what could be read,
-// which is nothing when the syntax is broken.
+// Parses the single document of `text`. Adds to `faults` and returns what could
+// be parsed, which is nothing if the syntax is invalid.
 std::optional<YamlNode> ParseYaml(std::string_view text, YamlFaults& faults);
 
-// Reads one map. Each key is asked for once; `Finish` then reports the others.
+// Reads one map. Look up each known key, then call `Finish`, which reports the
+// others.
 class YamlMapReader {
  public:
-  // `node` and `faults` must outlive the reader. A node that is no map is a
-  // fault, and every later call then returns nothing without a further one.
+  // `node` and `faults` must outlive the reader. A node that is not a map is
+  // reported as a fault, and later calls return nothing without a further
+  // fault.
   YamlMapReader(const YamlNode& node, YamlFaults& faults);
 
-  // The value of `key`; a fault if there is none.
+  // Returns the value of `key`; reports a fault if it is missing.
   const YamlNode* Required(std::string_view key);
   const YamlNode* Optional(std::string_view key);
 
-  // Makes the fault of an obsolete key name its replacement.
+  // Lets the fault for an obsolete key name its replacement.
   void Renamed(std::string_view old_key, std::string_view key);
 
-  // Reports keys that nobody asked for.
+  // Reports keys that were not looked up.
   void Finish();
 
  private:
@@ -105,16 +107,16 @@
   YamlFaults& m_faults;
   bool m_is_map;
   std::set<std::string, std::less<>> m_known;
-  // The replacements of obsolete keys.
+  // Maps obsolete keys to their replacements.
   std::map<std::string, std::string, std::less<>> m_renamed;
 };
 
-// What follows reads one value. Without a node, or at a fault, which is
-// reported, the result is empty.
+// Each of the following functions reads one value. The result is empty if the
+// node is null, or if the value is invalid, which is reported as a fault.
 
 std::optional<std::string> ReadText(const YamlNode* node, YamlFaults& faults);
 
-// 1 to 64 of [A-Za-z0-9._-].
+// 1 to 64 characters of [A-Za-z0-9._-].
 std::optional<std::string> ReadName(const YamlNode* node, YamlFaults& faults);
 bool IsValidName(std::string_view name);
 
@@ -137,7 +139,8 @@
                                        std::uint32_t max,
                                        YamlFaults& faults);
 
-// "50ms", "2s", "24h": a decimal number with one of ns, us, ms, s, m, h.
+// Durations such as "50ms", "2s", "24h": a decimal number with one of the units
+// ns, us, ms, s, m, h.
 struct DurationRange {
   Duration min{};
   Duration max{};
@@ -146,12 +149,12 @@
 std::optional<Duration> ReadDuration(const YamlNode* node,
                                      const DurationRange& range,
                                      YamlFaults& faults);
-// In the largest unit that needs no fraction.
+// Uses the largest unit in which the duration is a whole number.
 std::string FormatDuration(Duration duration);
 
 std::optional<Endpoint> ReadEndpoint(const YamlNode* node, YamlFaults& faults);
 
-// The items of a sequence of at least one; empty at a fault.
+// The items of a sequence with at least one item; empty on a fault.
 const std::vector<YamlNode>& ReadSequence(const YamlNode* node,
                                           YamlFaults& faults);
 
--- a/source/unit_tests/core/settings/daemon_settings_test.cc
+++ b/source/unit_tests/core/settings/daemon_settings_test.cc
@@ -54,7 +54,7 @@
   EXPECT_EQ(node.min_progress_time, other.min_progress_time);
 }
 
-TEST(DaemonSettingsTest, OthersAreToldOfTheForwarder) {
+TEST(DaemonSettingsTest, AdvertisesTheForwarderAddress) {
   std::string text = kMinimal;
   text.insert(text.find("  gossip:"), "  advertised_stream: 127.0.0.9:2\n");
   const DaemonSettings settings = *TryParseDaemonSettings(text).settings;
@@ -62,7 +62,7 @@
   EXPECT_EQ(settings.addresses.stream, (Endpoint{"127.0.0.1", 2}));
 }
 
-TEST(DaemonSettingsTest, FillsInTheNode) {
+TEST(DaemonSettingsTest, FillsInTheNodeSettings) {
   const DaemonSettings settings = *TryParseDaemonSettings(kMinimal).settings;
   EXPECT_EQ(settings.node.stream_endpoint, (Endpoint{"127.0.0.1", 2}));
   EXPECT_EQ(settings.node.gossip_endpoint, (Endpoint{"127.0.0.1", 2}));
@@ -89,7 +89,7 @@
 
 class SettingsFaultTest : public testing::TestWithParam<FaultCase> {};
 
-TEST_P(SettingsFaultTest, NamesTheFaultAndItsPlace) {
+TEST_P(SettingsFaultTest, ReportsTheFaultAndItsPosition) {
   std::string text = kMinimal;
   text.replace(text.find(GetParam().from), GetParam().from.size(),
                GetParam().to);
@@ -108,13 +108,14 @@
         FaultCase{"OperatorWildcard", "127.0.0.1:5", "0.0.0.0:5",
                   "line 8, column 13: without operator_token_file it must be "
                   "a loopback address"},
-        FaultCase{"HostName", "127.0.0.1:6", "table:6",
-                  "line 10, column 10: expected IP:PORT with an IP number"},
+        FaultCase{
+            "HostName", "127.0.0.1:6", "table:6",
+            "line 10, column 10: expected IP:PORT with a numeric IP address"},
         FaultCase{"StreamWildcard", "127.0.0.1:2", "0.0.0.0:2",
                   "line 5, column 11: other nodes cannot reach a wildcard "
                   "address"},
         FaultCase{"Twice", "127.0.0.1:4", "127.0.0.1:1",
-                  "line 4, column 3: address 127.0.0.1:1 stands twice"},
+                  "line 4, column 3: address 127.0.0.1:1 is used twice"},
         FaultCase{"UnknownKey", "region: quito", "region: quito\ncolour: red",
                   "line 3, column 1: unknown key 'colour'"},
         FaultCase{"RenamedKey", "region: quito",
@@ -142,8 +143,8 @@
 TEST(DaemonSettingsTest, ListsAllFaultsAtOnce) {
   const DaemonSettingsOrFaults parsed =
       TryParseDaemonSettings("addresses: {caller: x}\nlog_level: loud\n");
-  // Four addresses, the platform, the zone and the region are missing; the
-  // caller address and the log level are wrong.
+  // Missing: four addresses, the platform, the zone and the region. Invalid:
+  // the caller address and the log level.
   EXPECT_EQ(parsed.faults.faults.size(), 9u);
 }
 
--- a/source/unit_tests/core/settings/yaml_reader_test.cc
+++ b/source/unit_tests/core/settings/yaml_reader_test.cc
@@ -1,5 +1,5 @@
-// Tests of the value readers of `core/settings/yaml_reader.h`; the maps are
-// tested through contracts and settings.
+// Tests of the value readers of `core/settings/yaml_reader.h`; the map reader
+// is tested through contracts and settings.
 
 #include "core/settings/yaml_reader.h"
 
@@ -46,15 +46,15 @@
   RC_ASSERT(ParseDuration(FormatDuration(duration)) == duration);
 }
 
-// Whatever bytes come, the parser returns and never passes on a null tree
+// For any input the parser returns, and it never returns an empty result
 // without a fault.
-RC_GTEST_PROP(ParseYamlTest, BearsAnyBytes, (const std::string& text)) {
+RC_GTEST_PROP(ParseYamlTest, HandlesAnyBytes, (const std::string& text)) {
   YamlFaults faults;
   const bool has_tree = ParseYaml(text, faults).has_value();
   RC_ASSERT(has_tree || !faults.empty());
 }
 
-RC_GTEST_PROP(ParseYamlTest, BearsAnyMixOfItsOwnMarks, ()) {
+RC_GTEST_PROP(ParseYamlTest, HandlesAnyMixOfYamlIndicators, ()) {
   const auto text = *rc::gen::container<std::string>(
       rc::gen::elementOf(std::string("{}[]:,-?&*!|>'\"%@`#ab \n\t")));
   YamlFaults faults;
