--- a/source/unit_tests/core/contracts/watch_duty_test.cc
+++ b/source/unit_tests/core/contracts/watch_duty_test.cc
@@ -84,8 +84,8 @@
 }
 
 // Guards against a node that keeps an old configuration because it relies on
-// watchers it cannot hear: it is cut off from its peers but reaches the table,
-// and a change is written.
+// watchers that cannot notify it: it is cut off from its peers but reaches the
+// table, and a change is written.
 TEST(WatchDutyTest, IsolatedNodeWatches) {
   const std::vector<WatchCandidate> fleet = Fleet(300, 6);
   WatchDuty duty({}, NodeId(290), kStart);
