--- a/source/process_tests/announcement_test.cc
+++ b/source/process_tests/announcement_test.cc
@@ -1,5 +1,5 @@
-// How the target stand-in announces itself and leaves, against a server in
-// place of the node.
+// Tests how the target stand-in announces itself to its node and withdraws; an
+// HTTP server takes the place of the node.
 
 #include <memory>
 #include <mutex>
@@ -16,14 +16,14 @@
 namespace bulrushmount {
 namespace {
 
-// Takes what a node's target address takes, on a thread of its own.
+// Serves a node's target address on its own thread and records all requests.
 class RecordingNode {
  public:
   explicit RecordingNode(const Endpoint& listen)
       : m_server(m_io,
                  listen,
                  [this](const std::shared_ptr<ServerExchange>& exchange) {
-                   Keep(exchange->request());
+                   Record(exchange->request());
                    exchange->Respond({204, {}, {}});
                  }),
         m_thread([this] { m_io.run(); }) {}
@@ -36,7 +36,7 @@
   RecordingNode(const RecordingNode&) = delete;
   RecordingNode& operator=(const RecordingNode&) = delete;
 
-  // "METHOD PATH BODY" of each request that starts with `method`.
+  // Returns each recorded request with this method as "METHOD PATH BODY".
   std::vector<std::string> Received(const std::string& method) {
     const std::lock_guard lock(m_mutex);
     std::vector<std::string> found;
@@ -49,7 +49,7 @@
   }
 
  private:
-  void Keep(const ServerRequest& request) {
+  void Record(const ServerRequest& request) {
     const std::lock_guard lock(m_mutex);
     m_lines.push_back(std::string(request.method_string()) + " " +
                       std::string(request.target()) + " " + request.body());
@@ -84,10 +84,9 @@
             std::vector<std::string>{"DELETE " + expected});
 }
 
-// Symptom: a target that drains goes on as if in service.
-// Sequence: its operators set it to drain; it does not end.
-// Cause: the withdrawal was tied to the end of the process.
-TEST_F(AnnouncementTest, DrainWithdrawsAndGoesOnServing) {
+// Guards against a target that is set to drain but stays announced, because it
+// withdraws only when its process ends.
+TEST_F(AnnouncementTest, DrainWithdrawsAndKeepsServing) {
   const Endpoint node_endpoint = FreeEndpoint();
   RecordingNode node(node_endpoint);
   const Endpoint target = FreeEndpoint();
--- a/source/process_tests/at_most_once_test.cc
+++ b/source/process_tests/at_most_once_test.cc
@@ -1,6 +1,6 @@
-// Proof that a request that may not be repeated runs at most once: callers send
-// each key again and again through several entries while the store, the nodes
-// and the targets fail. The verdict: no key has two runs in the ledgers.
+// Tests that a request that is not repeatable runs at most once. Callers send
+// each idempotency key repeatedly through several entry nodes while the table
+// service, nodes and targets fail; no key may have two runs in the ledgers.
 
 #include <chrono>
 #include <cstddef>
@@ -20,8 +20,8 @@
 
 constexpr std::size_t kThreads = 16;
 constexpr std::size_t kBookingsPerStep = 80;
-constexpr std::size_t kTriesPerCaller = 4;
-constexpr auto kCallerRetryDetection = milliseconds(1500);
+constexpr std::size_t kAttemptsPerCaller = 4;
+constexpr auto kCallerTimeout = milliseconds(1500);
 
 class AtMostOnceTest : public FleetTest {
  public:
@@ -35,17 +35,17 @@
     return fmt::format("key-{}", pair);
   }
 
-  // Two callers share each key; each sends it again, through another entry,
-  // until it has an answer.
-  CallAnswer Book(std::size_t n) {
+  // Two callers share each key. Each retries it through the next entry node
+  // until it is answered or its attempts are used up.
+  CallAnswer SendBooking(std::size_t n) {
     CallRequest request;
     request.method = "POST";
     request.key = KeyOf(n / 2);
     request.path = fmt::format("/book?n={}", n / 2);
     request.body = "booth 1";
     CallAnswer answer;
-    for (std::size_t attempt = 0; attempt < kTriesPerCaller; ++attempt) {
-      answer = Call((n + attempt) % size(), request, kCallerRetryDetection);
+    for (std::size_t attempt = 0; attempt < kAttemptsPerCaller; ++attempt) {
+      answer = Call((n + attempt) % size(), request, kCallerTimeout);
       if (answer.is_answered()) {
         return answer;
       }
@@ -53,8 +53,8 @@
     return answer;
   }
 
-  // The named mutation: any claim found in the table is taken for the own one.
-  void ExpectOneRunAKey(const std::vector<CallAnswer>& answers) {
+  // Must fail if a node takes any claim that it finds in the table for its own.
+  void ExpectAtMostOneRunPerKey(const std::vector<CallAnswer>& answers) {
     EndFleet();
     std::map<std::string, std::size_t> runs;
     for (const LedgerLine& line : Ledgers()) {
@@ -86,14 +86,15 @@
 class FaultTest : public AtMostOnceTest,
                   public testing::WithParamInterface<FaultCase> {};
 
-// Symptom: a booking is made twice and charged twice.
-// Sequence: one key arrives at two entries at once, and again after each time
-// that the caller got no answer; meanwhile a part on its way fails.
-// Cause: a claim taken twice, taken over, or taken for made though it was not;
-// or a dispatch sent again after the first may have run.
+// Guards against a booking that is made and charged twice. One key arrives at
+// two entry nodes at once, and again whenever the caller gets no answer, while
+// a component on its path fails. The booking runs twice if a claim is granted
+// twice, taken over or wrongly assumed to be written, or if a request is
+// dispatched again although the first dispatch may have run.
 TEST_P(FaultTest, EachKeyRunsAtMostOnce) {
   StartFleet();
-  BackgroundCalls callers(kThreads, [this](std::size_t n) { return Book(n); });
+  BackgroundCalls callers(kThreads,
+                          [this](std::size_t n) { return SendBooking(n); });
   for (int step = 0; step < 3; ++step) {
     EXPECT_TRUE(callers.WaitForMore(kBookingsPerStep));
     GetParam().begin(*this);
@@ -101,7 +102,7 @@
     GetParam().end(*this);
   }
   EXPECT_TRUE(callers.WaitForMore(kBookingsPerStep));
-  ExpectOneRunAKey(callers.Stop());
+  ExpectAtMostOneRunPerKey(callers.Stop());
   EXPECT_GT(m_answered, 0U);
   EXPECT_GT(m_keys_run, 0U);
 }
@@ -152,11 +153,10 @@
             [](AtMostOnceTest& test) { test.StartTargetOf(0); }}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// Symptom: a booking that was refused during an outage was made all the same,
-// or waits for the store without end.
-// Sequence: the store goes down, callers book, the store comes back, and they
-// book again with the same keys.
-// Cause: dispatch without a claim, or a claim left behind by a refusal.
+// Guards against a booking that runs although it was refused during an outage
+// of the table service, and against one that is refused or waits forever after
+// the outage. The causes are a dispatch without a claim, and a claim that a
+// refused call leaves in the table.
 TEST_F(AtMostOnceTest, StoreDownRefusesAndRunsNothing) {
   StartFleet();
   SetPlatformFaults(R"({"down":true})");
@@ -186,13 +186,13 @@
   }
 }
 
-// Symptom: a caller's second send runs although the first may still run.
-// Sequence: an entry has the call and is stopped; its caller gives up and sends
-// the key to another entry; the first goes on where it was.
-// Cause: a claim whose lease lapsed under a paused holder.
-TEST_F(AtMostOnceTest, FrozenClaimantGoesOnAfterTheSecondSend) {
+// Guards against a retry that runs while the first attempt may still run. An
+// entry node is frozen with the call, its caller times out and sends the key to
+// another entry node, and then the first node resumes. Both attempts run if the
+// claim expires while its holder is paused.
+TEST_F(AtMostOnceTest, FrozenClaimHolderResumesAfterRetry) {
   StartFleet();
-  constexpr std::size_t keys_a_round = 12;
+  constexpr std::size_t keys_per_round = 12;
   std::vector<CallAnswer> answers;
   for (std::size_t round = 0; round < 8; ++round) {
     std::vector<std::future<CallAnswer>> first;
@@ -200,28 +200,28 @@
       CallRequest request;
       request.method = "POST";
       request.path = "/book";
-      request.key = KeyOf(round * keys_a_round + n);
+      request.key = KeyOf(round * keys_per_round + n);
       return request;
     };
-    for (std::size_t n = 0; n < keys_a_round; ++n) {
-      first.push_back(CallLater(0, request_of(n), kCallerRetryDetection));
+    for (std::size_t n = 0; n < keys_per_round; ++n) {
+      first.push_back(CallLater(0, request_of(n), kCallerTimeout));
     }
-    // Stops it while some of them are on their way, whichever they are.
+    // Freezes the node at a different point of the calls in each round.
     std::this_thread::sleep_for(milliseconds(2 * round));
     at(0).node->Freeze();
     for (auto& call : first) {
       answers.push_back(call.get());
     }
-    for (std::size_t n = 0; n < keys_a_round; ++n) {
+    for (std::size_t n = 0; n < keys_per_round; ++n) {
       answers.push_back(Call(1, request_of(n)));
     }
     at(0).node->Thaw();
     WaitForFleet();
-    for (std::size_t n = 0; n < keys_a_round; ++n) {
+    for (std::size_t n = 0; n < keys_per_round; ++n) {
       answers.push_back(Call(2, request_of(n)));
     }
   }
-  ExpectOneRunAKey(answers);
+  ExpectAtMostOneRunPerKey(answers);
   EXPECT_GT(m_answered, 0U);
 }
 
--- a/source/process_tests/caller_load_test.cc
+++ b/source/process_tests/caller_load_test.cc
@@ -1,5 +1,5 @@
-// The caller load's own judgement: it must see a request left hanging and an
-// answer that belongs to another request.
+// Tests the checks of the load generator `caller_load`: it must detect a
+// request that is never answered and an answer that belongs to another request.
 
 #include <cstdint>
 #include <memory>
@@ -32,7 +32,7 @@
 
 class LoadKindTest : public testing::TestWithParam<KindCase> {};
 
-TEST_P(LoadKindTest, ReadsOnlyWholeKinds) {
+TEST_P(LoadKindTest, ParsesOnlyCompleteKinds) {
   const auto kind = ParseLoadKind(GetParam().text);
   ASSERT_EQ(kind.has_value(), GetParam().is_valid);
   if (kind) {
@@ -79,7 +79,7 @@
 
 class AnswerTest : public testing::TestWithParam<AnswerCase> {};
 
-TEST_P(AnswerTest, OnlyTheWholeOwnAnswerCounts) {
+TEST_P(AnswerTest, AcceptsOnlyItsOwnCompleteAnswer) {
   EXPECT_EQ(IsAnswerTo(kDigest, GetParam().path, GetParam().body),
             GetParam().is_own);
 }
@@ -104,15 +104,16 @@
 
 class CallerLoadTest : public ProcessTest {
  protected:
-  // The exit code of a load of `kind`, straight to `target`.
+  // Sends a load of `kind` directly to `target` and returns the exit code.
   std::optional<int> RunLoad(const Endpoint& target,
                              const std::string& kind,
-                             std::vector<std::string> further = {}) {
+                             std::vector<std::string> extra_arguments = {}) {
     std::vector<std::string> arguments{
         "--entries", ToString(target), "--direct",   "--kind",
         kind,        "--ledger",       LedgerPath(), "--rate",
         "400",       "--duration-s",   "0.5"};
-    arguments.insert(arguments.end(), further.begin(), further.end());
+    arguments.insert(arguments.end(), extra_arguments.begin(),
+                     extra_arguments.end());
     const auto process = Start(BULRUSHMOUNT_CALLER_LOAD, arguments);
     const auto code = process->WaitForExit().value_or(ExitStatus{}).code;
     m_summary = process->StdoutText();
@@ -121,11 +122,11 @@
 
   std::string LedgerPath() const { return FilePath("caller_ledger"); }
 
-  // What the last load printed.
+  // The standard output of the last load.
   std::string m_summary;
 };
 
-TEST_F(CallerLoadTest, SoundLoadExitsWithZero) {
+TEST_F(CallerLoadTest, SuccessfulLoadExitsWithZero) {
   const Endpoint target = FreeEndpoint();
   const auto process = StartTarget(target, {"--service-time-ms", "1"});
   EXPECT_EQ(RunLoad(target, "book POST /book 1 key body 40",
@@ -137,19 +138,19 @@
   EXPECT_EQ(ledger.find(R"("outcome":"none")"), std::string::npos);
 }
 
-// Symptom: a reader gets part of another reader's answer.
-// Sequence: two requests are in flight, and each gets the answer of the other.
-// Cause: an answer was matched to a request by order. Here the server answers
-// with the digest of the request before.
+// Guards against a load generator that misses swapped answers, as they occur
+// when answers are matched to requests in flight by their order alone. The
+// server answers each request with the digest of the previous one.
 TEST_F(CallerLoadTest, SwappedAnswersAreCounted) {
   boost::asio::io_context io;
   std::uint64_t last_digest = 0;
   const HttpServer server(
       io, FreeEndpoint(), [&](const std::shared_ptr<ServerExchange>& exchange) {
-        const std::uint64_t told = std::exchange(
+        const std::uint64_t previous_digest = std::exchange(
             last_digest, RequestDigest("GET", exchange->path(), ""));
-        exchange->Respond(
-            {200, {{"X-Digest", DigestText(told)}}, DigestLine(told)});
+        exchange->Respond({200,
+                           {{"X-Digest", DigestText(previous_digest)}},
+                           DigestLine(previous_digest)});
       });
   std::thread thread([&] { io.run(); });
   EXPECT_EQ(RunLoad(server.endpoint(), "browse GET /browse 1"), 1);
@@ -158,9 +159,8 @@
   thread.join();
 }
 
-// Symptom: a caller waits without end and no report shows it.
-// Sequence: the target takes requests and never answers.
-// Cause: a load that counts only answers does not see what has none.
+// Guards against a load generator that counts only answers, and so does not
+// report requests that the target accepts and never answers.
 TEST_F(CallerLoadTest, HangingRequestsAreCounted) {
   const Endpoint target = FreeEndpoint();
   const auto process = StartTarget(target);
--- a/source/process_tests/configuration_test.cc
+++ b/source/process_tests/configuration_test.cc
@@ -1,5 +1,6 @@
-// Proof that an accepted configuration comes into force everywhere and never
-// goes back. Probed by behaviour: each version has a kind that no other has.
+// Tests that an accepted configuration comes into force at every node and that
+// no node returns to an older one. Each version of the contract has a kind that
+// no other version has, so a call shows which version a node uses.
 
 #include <algorithm>
 #include <atomic>
@@ -36,7 +37,7 @@
 
 class ConfigurationTest : public FleetTest {
  protected:
-  ~ConfigurationTest() override { StopWatching(); }
+  ~ConfigurationTest() override { StopRevisionMonitor(); }
 
   void StartWithVersion(int version) {
     FleetOptions options;
@@ -45,16 +46,17 @@
     StartFleet(options);
   }
 
-  // From now on every node's revision is read all the time.
-  void StartWatching() {
-    m_is_watching = true;
-    m_watcher = std::thread([this] { Watch(); });
+  // Polls the revision of every node on a thread and expects that it never
+  // decreases.
+  void StartRevisionMonitor() {
+    m_is_monitoring = true;
+    m_monitor = std::thread([this] { MonitorRevisions(); });
   }
 
-  void StopWatching() {
-    m_is_watching = false;
-    if (m_watcher.joinable()) {
-      m_watcher.join();
+  void StopRevisionMonitor() {
+    m_is_monitoring = false;
+    if (m_monitor.joinable()) {
+      m_monitor.join();
     }
   }
 
@@ -64,7 +66,7 @@
     return Call(entry, request, std::chrono::seconds(5));
   }
 
-  // At every node.
+  // Expects that `version` comes into force at every node.
   void ExpectInForce(int version) {
     const TimePoint begin = Now();
     for (std::size_t i = 0; i < size(); ++i) {
@@ -77,7 +79,7 @@
     m_longest = std::max(m_longest, Now() - begin);
   }
 
-  // That only `version` is, and stays, in force at every node.
+  // Expects that every node serves the kind of `version` and of no other.
   void ExpectOnly(int version, int newest) {
     for (std::size_t i = 0; i < size(); ++i) {
       for (int other = 0; other <= newest; ++other) {
@@ -100,7 +102,7 @@
     return etag;
   }
 
-  // Overwrites whatever is there, as an operator without a rival does.
+  // Overwrites the current version; retries until the write succeeds.
   void WriteVersion(int version, std::size_t node = 0) {
     HttpAnswer answer;
     EXPECT_TRUE(WaitUntil([&] {
@@ -114,9 +116,9 @@
   Duration m_longest{};
 
  private:
-  void Watch() {
+  void MonitorRevisions() {
     std::vector<std::int64_t> seen(size(), 0);
-    while (m_is_watching) {
+    while (m_is_monitoring) {
       for (std::size_t i = 0; i < seen.size(); ++i) {
         const HttpAnswer answer =
             HttpCall(at(i).operators, "GET", "/status", {}, {},
@@ -127,23 +129,23 @@
         const std::int64_t revision = boost::json::parse(answer.body)
                                           .at("revision")
                                           .to_number<std::int64_t>();
-        EXPECT_GE(revision, seen[i]) << "node " << i << " went back";
+        EXPECT_GE(revision, seen[i])
+            << "node " << i << " returned to an older revision";
         seen[i] = revision;
       }
     }
   }
 
-  std::atomic<bool> m_is_watching = false;
-  std::thread m_watcher;
+  std::atomic<bool> m_is_monitoring = false;
+  std::thread m_monitor;
 };
 
-// Symptom: an operator's accepted change is overwritten by one who never saw
-// it.
-// Sequence: two operators write at two nodes at once, from one version.
-// Cause: a write that does not depend on the version it came from.
+// Guards against a lost update: two operators change the same version through
+// two nodes at once, and the second write overwrites the first because it is
+// not conditional on the version that it is based on.
 TEST_F(ConfigurationTest, OneOfTwoRacingOperatorsWins) {
   StartWithVersion(0);
-  StartWatching();
+  StartRevisionMonitor();
   constexpr int rounds = 10;
   int newest = 0;
   int in_force = 0;
@@ -166,15 +168,14 @@
   fmt::print("rounds {} slowest_ms {}\n", rounds, ToMilliseconds(m_longest));
 }
 
-// Symptom: an operator is told of a failure, and the change is there; or is
-// told of success, and it is not.
-// Sequence: the store commits, and its answer is lost.
-// Cause: an unknown result taken for either.
+// Guards against a wrong result of a write: a failure is reported although the
+// change is stored, or a success although it is not. The table service commits
+// and its answer is lost, so the result is unknown until it is read back.
 TEST_F(ConfigurationTest, LostAnswersOfTheStoreAreReadBack) {
   StartWithVersion(0);
-  StartWatching();
+  StartRevisionMonitor();
   int in_force = 0;
-  int told_unknown = 0;
+  int reported_unknown = 0;
   constexpr int rounds = 8;
   for (int version = 1; version <= rounds; ++version) {
     const std::string etag = ETag();
@@ -185,7 +186,7 @@
     if (answer.status == 200) {
       in_force = version;
     } else if (answer.status == 504) {
-      ++told_unknown;
+      ++reported_unknown;
       const std::string shown =
           HttpCall(at(0).operators, "GET", "/contracts/studio").body;
       const bool is_there =
@@ -198,15 +199,15 @@
   }
   EXPECT_GT(in_force, 0);
   ExpectOnly(in_force, rounds);
-  fmt::print("rounds {} told_unknown {}\n", rounds, told_unknown);
+  fmt::print("rounds {} reported_unknown {}\n", rounds, reported_unknown);
 }
 
-// Symptom: half of the fleet serves by the old contract for hours.
-// Sequence: a change is accepted, and the store goes down at once.
-// Cause: nodes learn of changes from the store alone.
+// Guards against nodes that use the old contract for hours, because the table
+// service goes down just after it accepts a change and nodes learn of changes
+// only from it.
 TEST_F(ConfigurationTest, StoreDownJustAfterAcceptance) {
   StartWithVersion(0);
-  StartWatching();
+  StartRevisionMonitor();
   ASSERT_EQ(WriteContract(1, kTestWorkspace, ContractOf(1), ETag()).status,
             200U);
   SetPlatformFaults(R"({"down":true})");
@@ -214,12 +215,12 @@
   ExpectOnly(1, 1);
 }
 
-// Symptom: an old contract is in force again at one node.
-// Sequence: a node is stopped, three changes are accepted, and it goes on.
-// Cause: what it holds, or what it gets late, is taken for new.
-TEST_F(ConfigurationTest, NodeStoppedThroughThreeChanges) {
+// Guards against an old contract that comes into force again at one node. The
+// node is frozen during three changes, and when it resumes, the contract that
+// it holds or a delayed message is taken for the newest one.
+TEST_F(ConfigurationTest, NodeFrozenDuringThreeChanges) {
   StartWithVersion(0);
-  StartWatching();
+  StartRevisionMonitor();
   at(2).node->Freeze();
   for (int version = 1; version <= 3; ++version) {
     WriteVersion(version);
@@ -231,10 +232,9 @@
   }
 }
 
-// Symptom: a replaced node refuses all calls until the store is back.
-// Sequence: the store is down when a node is replaced at its address.
-// Cause: the configuration is read from the store alone.
-TEST_F(ConfigurationTest, NewcomerDuringAnOutageLearnsFromPeers) {
+// Guards against a node that refuses all calls because it is restarted while
+// the table service is down and reads its configuration only from there.
+TEST_F(ConfigurationTest, RestartedNodeLearnsFromPeersDuringAnOutage) {
   StartWithVersion(0);
   WriteVersion(1);
   ExpectInForce(1);
@@ -245,13 +245,13 @@
   ExpectOnly(1, 1);
 }
 
-// Symptom: a withdrawn contract returns, or its successor does not come.
-// Sequence: a contract is withdrawn while a node is stopped, and written again
-// later.
-// Cause: a withdrawal that leaves nothing behind to compare with.
+// Guards against a withdrawn contract that comes back, and against a later
+// contract of the same workspace that is ignored. A node is frozen during the
+// withdrawal. Both faults occur if a withdrawal leaves no revision with which
+// nodes can compare older and newer ones.
 TEST_F(ConfigurationTest, WithdrawnAndWrittenAgain) {
   StartWithVersion(0);
-  StartWatching();
+  StartRevisionMonitor();
   at(2).node->Freeze();
   const HttpAnswer gone =
       HttpCall(at(0).operators, "DELETE", "/contracts/studio", {},
--- a/source/process_tests/daemon_options_test.cc
+++ b/source/process_tests/daemon_options_test.cc
@@ -1,4 +1,4 @@
-// The options of `bulrushmountd` and what it exits with.
+// Tests the command-line options, messages and exit codes of `bulrushmountd`.
 
 #include <fstream>
 #include <string>
@@ -15,7 +15,7 @@
 using testing::HasSubstr;
 using testing::IsEmpty;
 
-constexpr char kSound[] = R"(availability_zone: quito-1
+constexpr char kValidSettings[] = R"(availability_zone: quito-1
 region: quito
 addresses:
   caller: 127.0.0.1:8080
@@ -30,7 +30,7 @@
 
 struct OptionCase {
   const char* name;
-  // The settings file FILE, if the arguments name it.
+  // The content of the settings file, whose path replaces the argument FILE.
   std::string settings;
   std::vector<std::string> arguments;
   int code;
@@ -45,7 +45,7 @@
 class DaemonOptionsTest : public ProcessTest,
                           public testing::WithParamInterface<OptionCase> {};
 
-TEST_P(DaemonOptionsTest, ExitsAndSays) {
+TEST_P(DaemonOptionsTest, ExitCodeAndOutput) {
   const OptionCase& test = GetParam();
   const std::string file = FilePath("node.yaml");
   std::ofstream(file) << test.settings;
@@ -81,20 +81,21 @@
                    "",
                    "no-such-file.yaml: cannot be read"},
         OptionCase{"Sound",
-                   kSound,
+                   kValidSettings,
                    {"--settings", "FILE", "--check-settings"},
                    0,
                    "",
                    ""},
         OptionCase{"UnknownKey",
-                   std::string(kSound) + "colour: red\n",
+                   std::string(kValidSettings) + "colour: red\n",
                    {"--settings", "FILE", "--check-settings"},
                    2,
                    "",
                    "node.yaml:12:1: "},
-        // Refused without --check-settings as well: it never starts to listen.
+        // Without --check-settings, invalid settings are refused before the
+        // daemon starts to listen.
         OptionCase{"FaultAtStart",
-                   std::string(kSound) + "log_level: loud\n",
+                   std::string(kValidSettings) + "log_level: loud\n",
                    {"--settings", "FILE"},
                    2,
                    "",
@@ -103,10 +104,11 @@
       return std::string(info.param.name);
     });
 
-// A settings file with several faults is mended in one go.
-TEST_F(DaemonOptionsTest, ListsEveryFault) {
+// All errors of a settings file are reported at once, so that an operator can
+// correct them together.
+TEST_F(DaemonOptionsTest, ListsEveryError) {
   const std::string file = FilePath("node.yaml");
-  std::ofstream(file) << kSound << "log_level: loud\ncolour: red\n";
+  std::ofstream(file) << kValidSettings << "log_level: loud\ncolour: red\n";
   const auto process =
       Start(BULRUSHMOUNT_DAEMON, {"--settings", file, "--check-settings"});
   const auto exit = process->WaitForExit();
@@ -116,12 +118,13 @@
   EXPECT_THAT(process->StderrText(), HasSubstr("node.yaml:13:"));
 }
 
-// An address that is taken is told, with 1: the settings are sound.
-TEST_F(DaemonOptionsTest, TakenAddress) {
+// An address that is in use gives exit code 1, not 2, since the settings are
+// valid.
+TEST_F(DaemonOptionsTest, AddressInUse) {
   const Endpoint platform = FreeEndpoint();
-  const auto taker = StartPlatform(platform);
+  const auto platform_process = StartPlatform(platform);
   const std::string file = FilePath("node.yaml");
-  std::string settings = kSound;
+  std::string settings = kValidSettings;
   const std::string stream = "127.0.0.1:7000";
   settings.replace(settings.find(stream), stream.size(), ToString(platform));
   std::ofstream(file) << settings;
--- a/source/process_tests/flat_memory_test.cc
+++ b/source/process_tests/flat_memory_test.cc
@@ -1,5 +1,5 @@
-// Real daemons keep their memory flat, however large a body and however slow
-// its reader. scripts/benchmark-path --memory runs the same with 1 GB.
+// Tests that the memory of nodes does not grow with the size of a body, however
+// slowly it is read. scripts/benchmark-path --memory runs the same with 1 GB.
 
 #include <algorithm>
 #include <atomic>
@@ -33,11 +33,12 @@
 constexpr std::uint64_t kDefaultMegabytes = 64;
 constexpr std::int64_t kAllowedGrowthKb = 16384;
 
-// The slow side reads this much and then pauses: 64 MB take a second or more,
-// and all that the fast side sends in a pause would have to be kept somewhere.
-constexpr std::size_t kBlock = 65536;
-constexpr auto kPause = std::chrono::microseconds(500);
-// Long enough for 1 GB at that pace.
+// The slow side reads one block and then pauses. 64 MB take a second or
+// more, and a node that does not apply backpressure has to buffer all that the
+// fast side sends during the pauses.
+constexpr std::size_t kBlockBytes = 65536;
+constexpr auto kPauseBetweenBlocks = std::chrono::microseconds(500);
+// Long enough for 1 GB at the rate of the slow side.
 constexpr char kDeadline[] = "300s";
 
 constexpr auto kSamplePeriod = milliseconds(100);
@@ -61,79 +62,80 @@
 }
 
 // Samples the resident memory of a process on a thread of its own.
-class MemoryWatch {
+class MemoryMonitor {
  public:
-  explicit MemoryWatch(pid_t pid)
+  explicit MemoryMonitor(pid_t pid)
       : m_pid(pid),
         m_first_kb(ResidentKb(pid)),
-        m_thread([this] { Watch(); }) {}
-  ~MemoryWatch() { Stop(); }
+        m_thread([this] { Sample(); }) {}
+  ~MemoryMonitor() { Stop(); }
 
-  MemoryWatch(const MemoryWatch&) = delete;
-  MemoryWatch& operator=(const MemoryWatch&) = delete;
+  MemoryMonitor(const MemoryMonitor&) = delete;
+  MemoryMonitor& operator=(const MemoryMonitor&) = delete;
 
-  // The most above the first sample.
+  // Ends sampling and returns the growth from the first sample to the largest.
   std::int64_t Stop() {
-    m_is_over = true;
+    m_is_stopping = true;
     if (m_thread.joinable())
       m_thread.join();
-    return m_most_kb - m_first_kb;
+    return m_max_kb - m_first_kb;
   }
 
   std::int64_t first_kb() const { return m_first_kb; }
 
  private:
-  void Watch() {
+  void Sample() {
     do {
-      m_most_kb = std::max(m_most_kb, ResidentKb(m_pid));
+      m_max_kb = std::max(m_max_kb, ResidentKb(m_pid));
       std::this_thread::sleep_for(kSamplePeriod);
-    } while (!m_is_over);
-    m_most_kb = std::max(m_most_kb, ResidentKb(m_pid));
+    } while (!m_is_stopping);
+    m_max_kb = std::max(m_max_kb, ResidentKb(m_pid));
   }
 
   pid_t m_pid;
   std::int64_t m_first_kb;
-  std::int64_t m_most_kb = 0;
-  std::atomic<bool> m_is_over = false;
+  std::int64_t m_max_kb = 0;
+  std::atomic<bool> m_is_stopping = false;
   std::thread m_thread;
 };
 
-// Reads `size` bytes in blocks with pauses; the bytes that came.
+// Reads `size` bytes in blocks with pauses; returns the number of bytes read.
 std::uint64_t ReadSlowly(tcp::socket& socket, std::uint64_t size) {
-  std::vector<char> block(kBlock);
-  std::uint64_t got = 0;
+  std::vector<char> block(kBlockBytes);
+  std::uint64_t received = 0;
   boost::system::error_code error;
-  while (got < size && !error) {
-    const std::size_t wanted = std::min<std::uint64_t>(kBlock, size - got);
-    got += asio::read(socket, asio::buffer(block.data(), wanted), error);
-    std::this_thread::sleep_for(kPause);
+  while (received < size && !error) {
+    const std::size_t wanted =
+        std::min<std::uint64_t>(kBlockBytes, size - received);
+    received += asio::read(socket, asio::buffer(block.data(), wanted), error);
+    std::this_thread::sleep_for(kPauseBetweenBlocks);
   }
-  return got;
+  return received;
 }
 
-// A socket whose kernel buffers are small, so that the bytes that are held up
-// have to be in the processes, if they are anywhere.
+// Connects with a small kernel receive buffer, so that bytes that are not read
+// yet are held in the processes under test and not in the kernel.
 tcp::socket ConnectTo(asio::io_context& context, const Endpoint& server) {
   tcp::socket socket(context, tcp::v4());
-  socket.set_option(asio::socket_base::receive_buffer_size(kBlock));
+  socket.set_option(asio::socket_base::receive_buffer_size(kBlockBytes));
   socket.connect({asio::ip::make_address(server.ip), server.port});
   return socket;
 }
 
-// A target that takes each body slowly and then answers with its length.
+// A target that reads each request body slowly and then sends an empty answer.
 class SlowTarget {
  public:
-  // On the address that announcements of this process come from.
+  // Listens on 127.0.0.1, the source address of this process's announcements.
   SlowTarget()
       : m_acceptor(m_context, {asio::ip::address_v4::loopback(), 0}),
         m_thread([this] { Serve(); }) {}
 
   ~SlowTarget() {
-    m_is_over = true;
+    m_is_stopping = true;
     boost::system::error_code ignored;
     {
-      tcp::socket wake(m_context);
-      wake.connect(m_acceptor.local_endpoint(), ignored);
+      tcp::socket connection(m_context);
+      connection.connect(m_acceptor.local_endpoint(), ignored);
     }
     m_thread.join();
   }
@@ -148,7 +150,7 @@
 
  private:
   void Serve() {
-    while (!m_is_over) {
+    while (!m_is_stopping) {
       tcp::socket socket = m_acceptor.accept();
       ServeOne(socket);
     }
@@ -161,8 +163,9 @@
         asio::read_until(socket, head, "\r\n\r\n", error);
     if (error)
       return;
-    const std::uint64_t early = head.size() - head_size;
-    m_received = early + ReadSlowly(socket, BodySize() - early);
+    const std::uint64_t body_bytes_read = head.size() - head_size;
+    m_received =
+        body_bytes_read + ReadSlowly(socket, BodySize() - body_bytes_read);
     asio::write(socket,
                 asio::buffer(std::string(
                     "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")),
@@ -171,15 +174,17 @@
 
   asio::io_context m_context;
   tcp::acceptor m_acceptor;
-  std::atomic<bool> m_is_over = false;
+  std::atomic<bool> m_is_stopping = false;
   std::atomic<std::uint64_t> m_received = 0;
   std::thread m_thread;
 };
 
-// Instance 0 is the entry and has no target; the other one owns the only one.
+// Instance 0 is the entry node and has no target; instance 1 is the owner node
+// of the only target.
 class FlatMemoryTest : public FleetTest {
  protected:
-  // Begins what `line` says through the entry; Host and workspace are set.
+  // Sends the head of a request with this request line to the entry node, with
+  // Host, workspace and `fields`.
   tcp::socket SendHead(const std::string& line, const std::string& fields) {
     tcp::socket socket = ConnectTo(m_context, at(0).caller);
     asio::write(socket, asio::buffer(fmt::format(
@@ -197,7 +202,7 @@
     RemoveTarget(0);
   }
 
-  // In the place of the target that the owner had.
+  // Replaces the owner node's target by `target`.
   void AnnounceToOwner(const Endpoint& target) {
     RemoveTarget(1);
     const std::string announcement = fmt::format(
@@ -214,10 +219,10 @@
     }));
   }
 
-  static void ExpectFlat(const std::string& name, MemoryWatch& watch) {
-    const std::int64_t growth = watch.Stop();
+  static void ExpectFlat(const std::string& name, MemoryMonitor& monitor) {
+    const std::int64_t growth = monitor.Stop();
     fmt::print("{0}_rss_before_kb={1}\n{0}_rss_growth_kb={2}\n", name,
-               watch.first_kb(), growth);
+               monitor.first_kb(), growth);
     EXPECT_LT(growth, kAllowedGrowthKb) << name;
   }
 
@@ -225,39 +230,39 @@
   asio::io_context m_context;
 };
 
-// Symptom: a node's memory grows with a download until the machine ends it.
-// Events: the target sends as fast as it can, the caller reads slowly.
-// Cause: a stage between them reads on although the next has not taken its
-// bytes.
+// Guards against a node whose memory grows during a download until the kernel
+// kills it. The target sends as fast as it can and the caller reads slowly, and
+// a stage between them keeps reading although the next stage has not accepted
+// its bytes.
 TEST_F(FlatMemoryTest, DownloadToASlowReader) {
   StartEntryAndOwner();
-  MemoryWatch entry_watch(at(0).node->pid());
-  MemoryWatch owner_watch(at(1).node->pid());
+  MemoryMonitor entry_monitor(at(0).node->pid());
+  MemoryMonitor owner_monitor(at(1).node->pid());
 
   tcp::socket caller = SendHead(fmt::format("GET /size/{}", BodySize()), "");
   asio::streambuf head;
   const std::size_t head_size = asio::read_until(caller, head, "\r\n\r\n");
-  const std::uint64_t early = head.size() - head_size;
-  EXPECT_EQ(early + ReadSlowly(caller, BodySize() - early), BodySize());
+  const std::uint64_t body_bytes_read = head.size() - head_size;
+  EXPECT_EQ(body_bytes_read + ReadSlowly(caller, BodySize() - body_bytes_read),
+            BodySize());
 
-  ExpectFlat("download_entry", entry_watch);
-  ExpectFlat("download_owner", owner_watch);
+  ExpectFlat("download_entry", entry_monitor);
+  ExpectFlat("download_owner", owner_monitor);
 }
 
-// Symptom: as above, with an upload.
-// Events: the caller sends as fast as it can, the target reads slowly.
-// Cause: as above, towards the target.
+// Guards against the same growth during an upload: the caller sends as fast as
+// it can and the target reads slowly.
 TEST_F(FlatMemoryTest, UploadToASlowTarget) {
   StartEntryAndOwner();
   SlowTarget target;
   AnnounceToOwner(target.endpoint());
-  MemoryWatch entry_watch(at(0).node->pid());
-  MemoryWatch owner_watch(at(1).node->pid());
+  MemoryMonitor entry_monitor(at(0).node->pid());
+  MemoryMonitor owner_monitor(at(1).node->pid());
 
   tcp::socket caller = SendHead(
       "PUT /upload", fmt::format("Content-Length: {}\r\n", BodySize()));
-  const std::string block(kBlock, 'u');
-  for (std::uint64_t sent = 0; sent < BodySize(); sent += kBlock)
+  const std::string block(kBlockBytes, 'u');
+  for (std::uint64_t sent = 0; sent < BodySize(); sent += kBlockBytes)
     asio::write(caller, asio::buffer(block));
   asio::streambuf answer;
   asio::read_until(caller, answer, "\r\n\r\n");
@@ -266,8 +271,8 @@
   EXPECT_TRUE(text.starts_with("HTTP/1.1 200")) << text;
   EXPECT_EQ(target.received(), BodySize());
 
-  ExpectFlat("upload_entry", entry_watch);
-  ExpectFlat("upload_owner", owner_watch);
+  ExpectFlat("upload_entry", entry_monitor);
+  ExpectFlat("upload_owner", owner_monitor);
 }
 
 }  // namespace
--- a/source/process_tests/fleet_fixture.cc
+++ b/source/process_tests/fleet_fixture.cc
@@ -62,8 +62,8 @@
           object.at("at_ns").to_number<std::int64_t>()};
 }
 
-// A process that is killed while it appends leaves no half line, but the file
-// may be read between a line's bytes.
+// Skips an incomplete last line: a target that is killed while it appends
+// leaves no partial line, but the file may be read during a write.
 std::vector<LedgerLine> ReadLedger(const std::string& path) {
   std::vector<LedgerLine> lines;
   const std::string text = ReadFile(path);
@@ -85,7 +85,7 @@
 std::string ToText(const CallAnswer& answer) {
   return fmt::format("call {} status {} outcome '{}' reason '{}' after {} ms",
                      answer.request_id, answer.http.status, answer.outcome(),
-                     answer.reason(), ToMilliseconds(answer.took));
+                     answer.reason(), ToMilliseconds(answer.elapsed));
 }
 
 std::string Summary(const std::vector<CallAnswer>& answers) {
@@ -179,7 +179,7 @@
                             : -1;
 }
 
-bool FleetTest::IsSettled(std::size_t index) {
+bool FleetTest::HasConverged(std::size_t index) {
   const json::value status = Status(index);
   if (!status.is_object() || !status.at("ready").as_bool() ||
       status.at("revision").to_number<std::int64_t>() < m_revision) {
@@ -208,7 +208,7 @@
 void FleetTest::WaitForFleet() {
   for (std::size_t i = 0; i < size(); ++i) {
     if (at(i).node->IsRunning()) {
-      ASSERT_TRUE(WaitUntil([&] { return IsSettled(i); }))
+      ASSERT_TRUE(WaitUntil([&] { return HasConverged(i); }))
           << "node " << i << ": "
           << HttpCall(at(i).operators, "GET", "/status").body;
     }
@@ -283,7 +283,7 @@
   const TimePoint begin = Now();
   answer.http = HttpCall(at(entry).caller, request.method, request.path,
                          request.body, headers, limit);
-  answer.took = Now() - begin;
+  answer.elapsed = Now() - begin;
   return answer;
 }
 
@@ -335,7 +335,7 @@
       }
     }
     return found < size();
-  })) << "nobody runs "
+  })) << "no target has started a request for "
       << path;
   return found;
 }
@@ -348,7 +348,8 @@
   }
   for (const auto& instance : m_instances) {
     instance->target_process->Thaw();
-    // Twice in a row: what lay in its sockets has been read by then.
+    // Two idle reports in a row: by the second one, the target has read the
+    // requests that were in its socket buffers.
     int idle = 0;
     EXPECT_TRUE(WaitUntil([&] {
       const std::string load = HttpCall(instance->target, "GET", "/load").body;
@@ -374,16 +375,16 @@
 
 void BackgroundCalls::Run(const CallFunction& call) {
   while (!m_is_stopping) {
-    CallAnswer answer = call(m_begun++);
+    CallAnswer answer = call(m_started_calls++);
     const std::lock_guard lock(m_mutex);
     m_answers.push_back(std::move(answer));
-    ++m_ended;
+    ++m_ended_calls;
   }
 }
 
 bool BackgroundCalls::WaitForMore(std::size_t calls) {
-  const std::size_t goal = m_ended + calls;
-  return WaitUntil([&] { return m_ended >= goal; });
+  const std::size_t goal = m_ended_calls + calls;
+  return WaitUntil([&] { return m_ended_calls >= goal; });
 }
 
 const std::vector<CallAnswer>& BackgroundCalls::Stop() {
--- a/source/process_tests/fleet_fixture.h
+++ b/source/process_tests/fleet_fixture.h
@@ -1,6 +1,6 @@
-// A small fleet of real processes under test: a platform stand-in, nodes with a
-// target beside each, a contract in force, and the ledgers that verdicts are
-// read from.
+// A small fleet of real processes under test: a platform stand-in, and nodes
+// with one target each. Targets record every run in a ledger file, and tests
+// compare the answers that callers got with these ledgers.
 
 #ifndef BULRUSHMOUNT_PROCESS_TESTS_FLEET_FIXTURE_H_
 #define BULRUSHMOUNT_PROCESS_TESTS_FLEET_FIXTURE_H_
@@ -26,8 +26,9 @@
 inline constexpr char kTestWorkspace[] = "studio";
 inline constexpr char kTestService[] = "session-desk";
 
-// GET anything (`read`, repeatable) and POST /book (`book`, needs a key), POST
-// /once (`once`, not repeatable, key optional) and PUT anything (`upload`).
+// Returns a contract with four kinds of requests: `read` (any GET, repeatable),
+// `upload` (any PUT, repeatable), `book` (POST /book, not repeatable, key
+// required) and `once` (any other POST, not repeatable, key optional).
 std::string TestContract(const std::string& deadline = "2s");
 
 struct FleetOptions {
@@ -38,12 +39,12 @@
   std::string measuring_term = "10s";
   std::string min_progress_time = "30s";
   bool is_warmed_up = true;
-  // Of a kind that the contract has.
+  // The path of the warm-up calls; the contract must have a kind for it.
   std::string warm_up_path = "/warm-up";
   std::string log_level = "info";
 };
 
-// One line of a target's ledger.
+// One event that a target recorded in its ledger.
 struct LedgerLine {
   std::string event;
   std::string request_id;
@@ -53,6 +54,7 @@
   std::int64_t at_ns = 0;
 };
 
+// The endpoints and processes of one instance: a node and its target.
 struct Instance {
   Endpoint caller;
   Endpoint stream;
@@ -60,7 +62,7 @@
   Endpoint announce;
   Endpoint operators;
   Endpoint target;
-  // Of its target, over all its restarts.
+  // The path of the target's ledger, which all its restarts append to.
   std::string ledger;
   std::unique_ptr<ChildProcess> node;
   std::unique_ptr<ChildProcess> target_process;
@@ -77,9 +79,9 @@
 
 struct CallAnswer {
   HttpAnswer http;
-  // Chosen by the fixture, and what the ledgers name the call by.
+  // Chosen by the fixture; identifies the call in the ledgers.
   std::string request_id;
-  Duration took{};
+  Duration elapsed{};
 
   std::string outcome() const { return http.Header("Bulrushmount-Outcome"); }
   std::string reason() const { return http.Header("Bulrushmount-Reason"); }
@@ -87,19 +89,20 @@
   bool is_answered() const { return outcome() == "answered"; }
 };
 
-// For a failed expectation.
+// Describes the answer in the message of a failed expectation.
 std::string ToText(const CallAnswer& answer);
 
-// How many answers had each outcome and reason, as in
-// "answered:7 not-run/draining:1".
+// Returns the number of answers with each outcome and reason, for example
+// "answered:7 not-run/draining:1 ".
 std::string Summary(const std::vector<CallAnswer>& answers);
 
+// Starts a fleet, sends calls through its nodes, and reads its ledgers.
 class FleetTest : public ProcessTest {
  protected:
-  // Returns when every node is ready, knows every target, has the contract and
-  // is warmed up.
+  // Returns when every node is ready, sees every target as serving, has the
+  // contract in force and, unless the options say otherwise, is warmed up.
   void StartFleet(FleetOptions options = {});
-  // A further instance, started; returns its index.
+  // Starts one more instance and returns its index.
   std::size_t AddInstance();
   void StartNode(std::size_t index);
   void StartTargetOf(std::size_t index);
@@ -107,19 +110,22 @@
   Instance& at(std::size_t index) { return *m_instances.at(index); }
   std::size_t size() const { return m_instances.size(); }
 
-  // That all nodes that run are ready, hold the newest revision written here,
-  // and see exactly the targets that run beside a node as serving.
+  // Waits until all running nodes are ready, hold the newest revision written
+  // by this test, and see as serving exactly those targets that run together
+  // with their node.
   void WaitForFleet();
-  // Calls every entry until the workspace's limiter has lent each of them what
-  // this test's calls need: else the first calls of a workspace are refused.
+  // Sends calls through every node until 30 in a row are answered. By then the
+  // workspace limiter has lent each entry node enough credit for the test's
+  // calls; without it the first calls of a workspace are refused.
   void WarmUp();
-  // The target beside the node withdraws, and is then ended: the node is an
-  // entry only.
+  // Drains the node's target until it has withdrawn, and then kills it. The
+  // node goes on as an entry node without a target.
   void RemoveTarget(std::size_t index);
   boost::json::value Status(std::size_t index);
   std::int64_t Revision(std::size_t index);
 
-  // Writes a contract through a node and remembers the revision.
+  // Writes a contract through a node and records the new revision for
+  // WaitForFleet.
   HttpAnswer WriteContract(std::size_t index,
                            const std::string& workspace,
                            const std::string& yaml,
@@ -134,15 +140,15 @@
 
   std::vector<LedgerLine> Ledger(std::size_t index) const;
   std::vector<LedgerLine> Ledgers() const;
-  // Started runs in all ledgers.
+  // Return the number of runs that all ledgers together record as started.
   std::size_t RunsOf(const std::string& request_id) const;
   std::size_t RunsOfKey(const std::string& key) const;
-  // Waits until the ledgers have started one request of `path`, and returns
-  // the instance that runs it.
+  // Waits until a ledger records a request for `path` as started, and returns
+  // the index of that instance.
   std::size_t WaitForRun(const std::string& path);
 
-  // Kills all nodes, then all targets once they have nothing left to run: the
-  // ledgers are final after it.
+  // Kills all nodes, and then each target once it has no requests in flight.
+  // After that the ledgers do not change any more.
   void EndFleet();
 
   void SetPlatformFaults(const std::string& json);
@@ -152,7 +158,7 @@
 
  private:
   std::string SettingsOf(const Instance& instance) const;
-  bool IsSettled(std::size_t index);
+  bool HasConverged(std::size_t index);
 
   FleetOptions m_options;
   Endpoint m_platform;
@@ -162,10 +168,11 @@
   std::atomic<std::uint64_t> m_calls = 0;
 };
 
-// Calls one after the other on each of several threads, until told to stop.
+// Runs several threads, each of which makes one call after the other until
+// Stop is called.
 class BackgroundCalls {
  public:
-  // Makes the `n`th call; runs on several threads at once.
+  // Makes the `n`th call; is called from several threads at once.
   using CallFunction = std::function<CallAnswer(std::size_t n)>;
 
   BackgroundCalls(std::size_t threads, const CallFunction& call);
@@ -174,17 +181,17 @@
   BackgroundCalls(const BackgroundCalls&) = delete;
   BackgroundCalls& operator=(const BackgroundCalls&) = delete;
 
-  // So many more calls than now have ended.
+  // Waits until `calls` more calls have ended; returns false on timeout.
   bool WaitForMore(std::size_t calls);
-  // Waits for the calls in progress, and returns all answers.
+  // Waits for the calls in progress and returns the answers of all calls.
   const std::vector<CallAnswer>& Stop();
 
  private:
   void Run(const CallFunction& call);
 
   std::atomic<bool> m_is_stopping = false;
-  std::atomic<std::size_t> m_begun = 0;
-  std::atomic<std::size_t> m_ended = 0;
+  std::atomic<std::size_t> m_started_calls = 0;
+  std::atomic<std::size_t> m_ended_calls = 0;
   std::mutex m_mutex;
   std::vector<CallAnswer> m_answers;
   std::vector<std::thread> m_threads;
--- a/source/process_tests/hostile_input_test.cc
+++ b/source/process_tests/hostile_input_test.cc
@@ -1,5 +1,6 @@
-// Proof that no input on any of a node's ports keeps it from serving: each case
-// gets a clear error or a closed connection, and then a call is answered.
+// Tests that malformed input on any port of a node does not stop it from
+// serving: each sender gets an error or a closed connection, and later calls
+// are answered.
 
 #include <functional>
 #include <string>
@@ -19,13 +20,13 @@
 
 constexpr std::size_t kMegabyte = 1'000'000;
 
-// What the sender must see.
+// The reaction that the sender must get.
 enum class Reaction : unsigned char {
-  // A status of 4xx or 5xx, or a closed connection.
+  // An error status (4xx or 5xx) or a closed connection.
   kRefused,
-  // Exactly this: a 4xx that says "not-run".
+  // A 4xx status with the outcome "not-run".
   kNotRun,
-  // Nothing yet: the sender hangs up.
+  // No answer, since the sender disconnects before its request is complete.
   kNone,
 };
 
@@ -36,7 +37,7 @@
   Reaction reaction;
 };
 
-std::string Garbage(std::size_t size) {
+std::string RandomBytes(std::size_t size) {
   return StreamBytes(99, 0, size);
 }
 
@@ -58,11 +59,10 @@
   }
 };
 
-// Symptom: a node vanishes or hangs.
-// Sequence: bytes that no proper sender sends arrive at one of its ports.
-// Cause: a parser that trusts its input. The named mutation: what is refused as
-// malformed is told as unknown.
-TEST_P(HostileInputTest, IsRefusedAndTheNodeGoesOn) {
+// Guards against a node that crashes or hangs on invalid input because a parser
+// trusts it. Must also fail if a malformed request is reported with the outcome
+// "unknown" in place of "not-run".
+TEST_P(HostileInputTest, IsRefusedAndTheNodeKeepsServing) {
   FleetOptions options;
   options.instances = 2;
   StartFleet(options);
@@ -95,13 +95,13 @@
     HostileInputTest,
     testing::Values(
         HostileCase{"GarbageToCallerPort", &Instance::caller,
-                    [] { return Garbage(100'000); }, Reaction::kRefused},
+                    [] { return RandomBytes(100'000); }, Reaction::kRefused},
         HostileCase{"GarbageToStreamPort", &Instance::stream,
-                    [] { return Garbage(100'000); }, Reaction::kRefused},
+                    [] { return RandomBytes(100'000); }, Reaction::kRefused},
         HostileCase{"GarbageToTargetPort", &Instance::announce,
-                    [] { return Garbage(100'000); }, Reaction::kRefused},
+                    [] { return RandomBytes(100'000); }, Reaction::kRefused},
         HostileCase{"GarbageToOperatorPort", &Instance::operators,
-                    [] { return Garbage(100'000); }, Reaction::kRefused},
+                    [] { return RandomBytes(100'000); }, Reaction::kRefused},
         HostileCase{"HeadTooLarge", &Instance::caller,
                     [] {
                       return Head("GET /read",
@@ -137,7 +137,7 @@
         HostileCase{"TruncatedBody", &Instance::caller,
                     [] {
                       return Head("POST /read", "Content-Length: 500000\r\n") +
-                             Garbage(200'000);
+                             RandomBytes(200'000);
                     },
                     Reaction::kNone},
         HostileCase{"TruncatedHead", &Instance::caller,
@@ -191,7 +191,7 @@
   const boost::asio::ip::udp::endpoint to(
       boost::asio::ip::make_address(gossip.ip), gossip.port);
   for (std::size_t size = 0; size < 1400; ++size) {
-    // Each kind of datagram with a broken rest, too.
+    // The first byte selects the kind of datagram; the rest is random.
     std::string bytes = StreamBytes(size, 0, size);
     if (!bytes.empty()) {
       bytes[0] = static_cast<char>(size % 16);
--- a/source/process_tests/leaving_test.cc
+++ b/source/process_tests/leaving_test.cc
@@ -1,5 +1,6 @@
-// Proof that who leaves gets no new work and cuts none in progress: targets
-// withdraw, and each process in turn is told to end during large transfers.
+// Tests that a process that leaves the fleet gets no new work and completes the
+// work in progress: targets withdraw under load, and an entry node, an owner
+// node or a target receives SIGTERM during a large transfer.
 
 #include <algorithm>
 #include <cstddef>
@@ -22,8 +23,9 @@
 
 class LeavingTest : public FleetTest {
  protected:
-  // Returns once the node has acknowledged and the target has read all that it
-  // was sent before: the moment after which nothing new may start there.
+  // Drains the target. Returns the time after which no new request may start
+  // there: the node has acknowledged the withdrawal, and the target has read
+  // what it was sent before.
   TimePoint Withdraw(std::size_t index) {
     EXPECT_EQ(HttpCall(at(index).target, "PUT", "/control", R"({"drain":true})")
                   .status,
@@ -43,20 +45,19 @@
     });
   }
 
-  std::size_t RunsAfter(std::size_t index, TimePoint moment) {
+  std::size_t RunsAfter(std::size_t index, TimePoint withdrawal_time) {
     const std::vector<LedgerLine> lines = Ledger(index);
     return std::count_if(lines.begin(), lines.end(), [&](const auto& line) {
       return line.event == "started" &&
-             line.at_ns > moment.time_since_epoch().count();
+             line.at_ns > withdrawal_time.time_since_epoch().count();
     });
   }
 };
 
-// Symptom: a target that leaves still gets requests.
-// Sequence: a target withdraws under load.
-// Cause: an entry's stale picture decides. The named mutation: an owner admits
-// work while its target drains.
-TEST_F(LeavingTest, WithdrawnTargetGetsNothingNew) {
+// Guards against a target that still gets requests after it has withdrawn under
+// load, because an entry node routes by stale state. Must fail if an owner node
+// admits work while its target drains.
+TEST_F(LeavingTest, WithdrawnTargetGetsNoNewRequests) {
   StartFleet();
   CallRequest slow;
   slow.path = "/sleep/1200";
@@ -71,31 +72,31 @@
     return Call(n % size(), request);
   });
   ASSERT_TRUE(calls.WaitForMore(50));
-  const TimePoint moment = Withdraw(1);
+  const TimePoint withdrawal_time = Withdraw(1);
   ASSERT_TRUE(calls.WaitForMore(600));
   for (auto& call : in_flight) {
     const CallAnswer answer = call.get();
     EXPECT_TRUE(answer.is_answered()) << ToText(answer);
   }
-  // A refusal is a truthful end of a call; to be cut off is not.
+  // A call may be refused while the target drains, but not cut off.
   const std::vector<CallAnswer>& answers = calls.Stop();
   for (const CallAnswer& answer : answers) {
     EXPECT_TRUE(answer.is_answered() || answer.is_not_run()) << ToText(answer);
   }
-  EXPECT_EQ(RunsAfter(1, moment), 0U);
+  EXPECT_EQ(RunsAfter(1, withdrawal_time), 0U);
   fmt::print("calls {} {}runs_after_withdrawal {}\n", answers.size(),
-             Summary(answers), RunsAfter(1, moment));
+             Summary(answers), RunsAfter(1, withdrawal_time));
 }
 
-// Symptom: a target that has left gets a request from one entry alone.
-// Sequence: the entry is stopped, the target withdraws, calls wait in the
-// entry's sockets, and it goes on with what it believed before.
-// Cause: the entry's picture is taken for the truth by the owner as well.
-TEST_F(LeavingTest, EntryThatHasNotHeardIsRefused) {
+// Guards against a withdrawn target that gets requests from one entry node. The
+// entry node is frozen during the withdrawal while calls wait in its sockets,
+// and it resumes with its old state. The requests run if the owner node relies
+// on the entry node's state and does not check its own.
+TEST_F(LeavingTest, EntryWithStaleStateIsRefused) {
   StartFleet();
   RemoveTarget(0);
   at(0).node->Freeze();
-  const TimePoint moment = Withdraw(1);
+  const TimePoint withdrawal_time = Withdraw(1);
   std::vector<std::future<CallAnswer>> calls;
   for (std::size_t n = 0; n < 40; ++n) {
     calls.push_back(CallLater(0, {}));
@@ -107,7 +108,7 @@
     EXPECT_TRUE(answer.is_answered() || answer.is_not_run()) << ToText(answer);
     answered += answer.is_answered() ? 1 : 0;
   }
-  EXPECT_EQ(RunsAfter(1, moment), 0U);
+  EXPECT_EQ(RunsAfter(1, withdrawal_time), 0U);
   EXPECT_GT(answered, 0U);
 }
 
@@ -156,8 +157,9 @@
     ExpectCleanExit(process);
   }
 
-  // The target reads the whole body before its ledger says "started", so who
-  // runs it is told by the owner's own count of work.
+  // Returns the owner node of the upload, by its number of works in progress.
+  // The ledger does not show it yet, since the target records the request as
+  // started only after it has read the whole body.
   std::size_t OwnerOfUpload() {
     std::size_t owner = 0;
     EXPECT_TRUE(WaitUntil([&] {
@@ -189,13 +191,13 @@
   }
 };
 
-// Symptom: a download breaks off during a deployment.
-// Sequence: SIGTERM reaches a process that a large transfer passes.
-// Cause: the process ends, or closes the connection, before the transfer does.
-TEST_P(ShutdownTest, TransferInProgressIsWhole) {
+// Guards against a transfer that is cut off during a deployment, because a
+// process on its path receives SIGTERM and exits or closes the connection
+// before the transfer is complete.
+TEST_P(ShutdownTest, TransferInProgressIsCompleted) {
   FleetOptions options;
-  // The stand-in ends when no request has come for so long, and counts one
-  // whose body is on its way only when it is there.
+  // After SIGTERM the stand-in exits when no request has arrived for this time.
+  // A request counts only after its whole body has been received.
   options.target_arguments = {"--linger-ms", "4000"};
   options.contract = TestContract("20s");
   StartFleet(options);
--- a/source/process_tests/measuring_test.cc
+++ b/source/process_tests/measuring_test.cc
@@ -1,5 +1,5 @@
-// Proof that measuring stays within its budget: the probes that targets really
-// got, over the whole fleet, in every window of one second.
+// Tests that probing stays within its budget: the ledgers show how many probes
+// all targets of the fleet received in every window of one second.
 
 #include <algorithm>
 #include <chrono>
@@ -46,7 +46,7 @@
     WaitForFleet();
   }
 
-  // When targets got probes, all together, in order.
+  // Returns the sorted times at which any target received a probe.
   std::vector<std::int64_t> ProbeTimes() const {
     std::vector<std::int64_t> times;
     for (const LedgerLine& line : Ledgers()) {
@@ -58,9 +58,9 @@
     return times;
   }
 
-  static std::size_t MostInOneSecond(const std::vector<std::int64_t>& times,
-                                     std::int64_t from = 0) {
-    std::size_t most = 0;
+  static std::size_t MaxInOneSecond(const std::vector<std::int64_t>& times,
+                                    std::int64_t from = 0) {
+    std::size_t max_count = 0;
     std::size_t first = 0;
     for (std::size_t last = 0; last < times.size(); ++last) {
       while (times[last] - times[first] >= kSecondNs || times[first] < from) {
@@ -70,13 +70,13 @@
         ++first;
       }
       if (times[first] >= from) {
-        most = std::max(most, last - first + 1);
+        max_count = std::max(max_count, last - first + 1);
       }
     }
-    return most;
+    return max_count;
   }
 
-  // Also an instance's whole life here: how long probing is watched.
+  // Waits until `more` further probes have been received.
   bool WaitForProbes(std::size_t more) {
     const std::size_t goal = ProbeTimes().size() + more;
     return WaitUntil([&] { return ProbeTimes().size() >= goal; });
@@ -93,24 +93,23 @@
     : public MeasuringTest,
       public testing::WithParamInterface<MeasuringCase> {};
 
-// Symptom: servers are measured more than the operators allow, while callers
-// wait.
-// Sequence: nodes hold shares of the budget; one is stopped past its lease,
-// killed or joins, or the store fails, and goes on.
-// Cause: two nodes use one share. The named mutation: a holder does not keep
-// the distance of its probes.
-TEST_P(DisturbedMeasuringTest, NoSecondHoldsMoreThanTheBudget) {
+// Guards against more probes than the budget allows, which take capacity from
+// callers. Nodes hold leases on shares of the budget, and two nodes may use the
+// same share after a node is frozen past the end of its lease, is killed or
+// joins, or after the table service fails. Must fail if a lease holder does not
+// keep the interval between its probes.
+TEST_P(DisturbedMeasuringTest, ProbesStayWithinTheBudgetInEverySecond) {
   StartMeasuring();
   ASSERT_TRUE(WaitForProbes(6));
   GetParam().begin(*this);
-  // Longer than every lease; the verdict does not depend on it.
+  // Longer than every lease; the expectations hold for any duration.
   std::this_thread::sleep_for(seconds(4));
   GetParam().end(*this);
   EXPECT_TRUE(WaitForProbes(10));
   const std::vector<std::int64_t> times = ProbeTimes();
-  EXPECT_LE(MostInOneSecond(times), kBudget);
+  EXPECT_LE(MaxInOneSecond(times), kBudget);
   fmt::print("probes {} most_in_one_second {} budget {}\n", times.size(),
-             MostInOneSecond(times), kBudget);
+             MaxInOneSecond(times), kBudget);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -143,11 +142,11 @@
                       [](MeasuringTest&) {}}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// Symptom: a lowered budget is exceeded for good by who was not told.
-// Sequence: the budget is lowered under way; two terms and three polls later
-// all holders are bound (docs/design/measuring.md). Cause: shares of the old
-// layout used beside those of the new one.
-TEST_F(MeasuringTest, LoweredBudgetBinds) {
+// Guards against a lowered budget that stays exceeded because nodes use shares
+// of the old layout together with those of the new one. All lease holders are
+// bound by the new budget two lease terms and three polls after the change
+// (docs/design/measuring.md).
+TEST_F(MeasuringTest, LoweredBudgetTakesEffect) {
   StartMeasuring();
   ASSERT_TRUE(WaitForProbes(8));
   const std::string etag =
@@ -155,15 +154,16 @@
   ASSERT_EQ(WriteContract(0, "measurement", Budget(kLowerBudget), etag).status,
             200U);
   WaitForFleet();
-  const std::int64_t bound = (Now() + seconds(7)).time_since_epoch().count();
-  ASSERT_TRUE(
-      WaitUntil([&] { return Now().time_since_epoch().count() > bound; }));
+  const std::int64_t new_budget_start_ns =
+      (Now() + seconds(7)).time_since_epoch().count();
+  ASSERT_TRUE(WaitUntil(
+      [&] { return Now().time_since_epoch().count() > new_budget_start_ns; }));
   EXPECT_TRUE(WaitForProbes(8));
   const std::vector<std::int64_t> times = ProbeTimes();
-  EXPECT_LE(MostInOneSecond(times), kBudget);
-  EXPECT_LE(MostInOneSecond(times, bound), kLowerBudget);
+  EXPECT_LE(MaxInOneSecond(times), kBudget);
+  EXPECT_LE(MaxInOneSecond(times, new_budget_start_ns), kLowerBudget);
   fmt::print("probes {} most {} most_after_lowering {}\n", times.size(),
-             MostInOneSecond(times), MostInOneSecond(times, bound));
+             MaxInOneSecond(times), MaxInOneSecond(times, new_budget_start_ns));
 }
 
 }  // namespace
--- a/source/process_tests/not_run_test.cc
+++ b/source/process_tests/not_run_test.cc
@@ -1,5 +1,6 @@
-// Proof that "not run" is true: whoever is told so finds no run of the call in
-// any target's ledger, whatever was killed, shed or late in between.
+// Tests that the outcome "not-run" is true: a call with this outcome has no run
+// in any target's ledger, whichever process was killed or frozen, and whether
+// the call was shed or passed its deadline.
 
 #include <chrono>
 #include <cstddef>
@@ -17,7 +18,7 @@
 
 constexpr std::size_t kThreads = 24;
 constexpr std::size_t kCallsPerStep = 150;
-constexpr auto kCallerRetryDetection = std::chrono::seconds(2);
+constexpr auto kCallerTimeout = std::chrono::seconds(2);
 
 class NotRunTest : public FleetTest {
  public:
@@ -27,9 +28,9 @@
   using FleetTest::WaitForFleet;
 
  protected:
-  // The named mutation of all tests here: an owner tells an exchange that broke
-  // off after the hand-over as refused.
-  void ExpectNotRunIsTrue(const std::vector<CallAnswer>& answers) {
+  // Must fail if an owner node reports an exchange that was interrupted after
+  // the hand-over to the target as refused.
+  void ExpectNotRunCallsNeverRan(const std::vector<CallAnswer>& answers) {
     EndFleet();
     std::set<std::string> run;
     for (const LedgerLine& line : Ledgers()) {
@@ -53,7 +54,7 @@
   std::size_t m_without_answer = 0;
 };
 
-// What happens under a load of short calls; three times each.
+// A disturbance that occurs three times under a load of short calls.
 struct DisturbanceCase {
   const char* name;
   void (*begin)(NotRunTest& test);
@@ -68,11 +69,12 @@
   EXPECT_EQ(HttpCall(test.at(0).target, "PUT", "/control", json).status, 204U);
 }
 
-// Symptom: a caller is told "not run", sends again, and pays twice.
-// Sequence: calls wait for, are handed to, or run at a target while a process
-// on their way vanishes or refuses.
-// Cause: a lost answer taken for a refusal, or a refusal after the hand-over.
-TEST_P(DisturbanceTest, NobodyToldNotRunWasRun) {
+// Guards against a call that runs twice because its caller gets "not-run" for
+// the first attempt and retries. Calls are queued for, handed over to or
+// running at a target while a process on their path fails or refuses them. The
+// outcome is wrong if a lost answer is taken for a refusal, or if the call is
+// refused after the hand-over.
+TEST_P(DisturbanceTest, NotRunCallsNeverRan) {
   FleetOptions options;
   options.target_arguments = {"--slots", "4", "--service-time-ms", "2"};
   StartFleet(options);
@@ -81,7 +83,7 @@
     request.method = n % 2 == 0 ? "POST" : "GET";
     request.path = fmt::format("/sleep/{}?n={}", n % 30, n);
     request.deadline_ms = 100 + 20 * (n % 20);
-    return Call(n % size(), request, kCallerRetryDetection);
+    return Call(n % size(), request, kCallerTimeout);
   });
   for (int step = 0; step < 3; ++step) {
     EXPECT_TRUE(calls.WaitForMore(kCallsPerStep));
@@ -91,7 +93,7 @@
   }
   WaitForFleet();
   EXPECT_TRUE(calls.WaitForMore(kCallsPerStep));
-  ExpectNotRunIsTrue(calls.Stop());
+  ExpectNotRunCallsNeverRan(calls.Stop());
   EXPECT_GT(m_answered, 0U);
   if (!GetParam().may_lose_answers) {
     EXPECT_EQ(m_without_answer, 0U);
@@ -141,10 +143,10 @@
 class DeadlineTest : public NotRunTest,
                      public testing::WithParamInterface<DeadlineCase> {};
 
-// Symptom: calls that waited too long are told "not run" although they ran.
-// Sequence: far more calls than slots, each longer than its deadline allows the
-// next; some pass their deadline in the queue, some at the target.
-// Cause: the deadline's passing is told without regard to the hand-over.
+// Guards against calls that pass their deadline and get "not-run" although they
+// ran. There are far more calls than slots, so some pass the deadline in the
+// queue and some at the target. The outcome is wrong if it does not depend on
+// whether the call was already handed over.
 TEST_P(DeadlineTest, PassesInTheQueueAndAtTheTarget) {
   FleetOptions options;
   options.target_arguments = {"--slots", "1"};
@@ -163,7 +165,7 @@
     answers.push_back(call.get());
     expected += answers.back().outcome() == GetParam().expected ? 1 : 0;
   }
-  ExpectNotRunIsTrue(answers);
+  ExpectNotRunCallsNeverRan(answers);
   EXPECT_EQ(m_without_answer, 0U);
   EXPECT_GT(m_not_run, 0U);
   EXPECT_GT(expected, 0U);
--- a/source/process_tests/operator_pages_test.cc
+++ b/source/process_tests/operator_pages_test.cc
@@ -1,6 +1,7 @@
-// The operators' view of a fleet of real processes: contracts that are waited
-// for, the burn report over all nodes, the metrics page, and logs that follow
-// one call from node to node.
+// Tests the operator interface on a fleet of real processes: contract writes
+// that wait until all nodes have the contract in force, the burn report over
+// all nodes, the metrics page, and log lines that carry a call's request id on
+// every node.
 
 #include <cstdint>
 #include <fstream>
@@ -37,7 +38,7 @@
   return found;
 }
 
-// Over all series of a burn report.
+// Returns the number of calls with `outcome` in all series of a burn report.
 std::int64_t Outcomes(const boost::json::value& report,
                       const std::string& outcome) {
   std::int64_t sum = 0;
@@ -73,8 +74,8 @@
   }
 };
 
-// The second contract makes revision 2; no node is asked before --wait
-// returned.
+// The second contract gives revision 2. The test queries no node before the
+// command with --wait has returned.
 TEST_F(OperatorPagesTest, WaitReturnsOnceAllHaveTheContractInForce) {
   const std::string file = FilePath("releases.yaml");
   std::string contract = TestContract();
@@ -85,7 +86,8 @@
   request.workspace = "releases";
   for (std::size_t node = 0; node < size(); ++node) {
     EXPECT_EQ(Status(node).at("revision").to_number<int>(), 2);
-    // Null until the table or a peer that has read it was heard.
+    // Null until the node has read the table, or has received a message from a
+    // peer that has read it.
     EXPECT_TRUE(WaitUntil(
         [this, node] { return Status(node).at("config_age_ms").is_number(); }));
     const CallAnswer answer = Call(node, request);
@@ -94,12 +96,12 @@
 }
 
 TEST_F(OperatorPagesTest, BurnReportCoversTheFleet) {
-  // The fixture's own calls are in it.
+  // The report includes the fixture's warm-up calls.
   const std::int64_t before = Outcomes(BurnJson(), "answered");
   for (std::size_t node = 0; node < size(); ++node) {
     EXPECT_TRUE(Call(node, {}).is_answered());
   }
-  // A caller has its answer a moment before its entry has counted it.
+  // The entry node counts a call shortly after its caller has the answer.
   EXPECT_TRUE(WaitUntil([this, before] {
     return Outcomes(BurnJson(), "answered") == before + 3;
   }));
@@ -112,9 +114,9 @@
   EXPECT_EQ(Page(0, "/report/burn?format=pdf").status, 400U);
 }
 
-// Symptom: an operator's report never comes, or silently covers less.
-// Sequence: a node is frozen, and the fleet does not know yet.
-// Cause: its kernel still takes connections.
+// Guards against a report that never arrives, or that does not list a node as
+// missing. A frozen node that the fleet has not detected yet does not answer,
+// but its kernel still accepts connections.
 TEST_F(OperatorPagesTest, BurnReportCountsAFrozenNode) {
   at(2).node->Freeze();
   const auto report = BurnJson();
@@ -123,10 +125,10 @@
   at(2).node->Thaw();
 }
 
-// Symptom: a caller reads what is for operators.
-// Sequence: a caller's request looks like a node's question.
-// Cause: the field that marks questions taken from callers.
-TEST_F(OperatorPagesTest, CallerCannotAskNodesQuestions) {
+// Guards against a caller that reads operator data: its request looks like a
+// control request between nodes, and the header field that marks these is
+// accepted from callers.
+TEST_F(OperatorPagesTest, CallerCannotSendControlRequests) {
   at(1).target_process->Terminate();
   ASSERT_TRUE(at(1).target_process->WaitForExit());
   WaitForFleet();
@@ -158,33 +160,33 @@
                                      HasSubstr("result=answered")));
 }
 
-TEST_F(OperatorPagesTest, EveryLogLineIsKeysAndValues) {
+TEST_F(OperatorPagesTest, EveryLogLineConsistsOfKeyValuePairs) {
   ASSERT_TRUE(Call(0, {}).is_answered());
   const std::string pair = "[a-z_]+=([^ =\"]+|\"([^\"\\\\]|\\\\.)*\")";
-  const std::string form = fmt::format("{0}( {0})*", pair);
+  const std::string pattern = fmt::format("{0}( {0})*", pair);
   for (std::size_t node = 0; node < size(); ++node) {
     const auto lines = LinesWith(at(node).node->StdoutText(), "");
     EXPECT_GT(lines.size(), 2U);
     for (const std::string& line : lines) {
-      EXPECT_THAT(line, MatchesRegex(form));
+      EXPECT_THAT(line, MatchesRegex(pattern));
       EXPECT_THAT(line, HasSubstr(" event="));
     }
   }
 }
 
-// A name, labels if it has any, and a number.
-constexpr char kSampleForm[] =
+// A sample: a metric name, optional labels, and a number.
+constexpr char kSamplePattern[] =
     "[a-z_]+(\\{[a-z_]+=\"[^\"]*\"(,[a-z_]+=\"[^\"]*\")*\\})? [-+.e0-9]+";
 
-// A histogram's samples bear its name with one of three endings.
+// The samples of a histogram have its name with one of three suffixes.
 bool IsSampleOf(const std::string& family, const std::string& line) {
   const std::string name = line.substr(0, line.find_first_of("{ "));
   return name == family || name == family + "_bucket" ||
          name == family + "_sum" || name == family + "_count";
 }
 
-// Each family once, with HELP and TYPE before its samples.
-TEST_F(OperatorPagesTest, MetricsPageIsInTheTextForm) {
+// HELP and TYPE come before the samples of each metric family.
+TEST_F(OperatorPagesTest, MetricsPageIsInTextFormat) {
   ASSERT_TRUE(
       WaitUntil([this] { return Status(0).at("config_age_ms").is_number(); }));
   const HttpAnswer page = Page(0, "/metrics");
@@ -205,7 +207,7 @@
                   MatchesRegex("# TYPE [a-z_]+ (counter|gauge|histogram)"));
       EXPECT_THAT(line, HasSubstr(" " + family + " "));
     } else {
-      EXPECT_THAT(line, MatchesRegex(kSampleForm));
+      EXPECT_THAT(line, MatchesRegex(kSamplePattern));
       EXPECT_TRUE(IsSampleOf(family, line)) << line;
     }
   }
--- a/source/process_tests/pipeline_test.cc
+++ b/source/process_tests/pipeline_test.cc
@@ -1,6 +1,6 @@
-// Proof that a caller who sends requests ahead loses nothing by it: what was
-// passed on is answered whole and in order whoever ends meanwhile, and what
-// nobody waits for any more holds no slot.
+// Tests pipelined requests: those that were forwarded are answered completely
+// and in order although a process on their path is told to exit, and those of a
+// disconnected caller are cancelled, so that they occupy no slots.
 
 #include <algorithm>
 #include <cstddef>
@@ -22,7 +22,7 @@
 
 class PipelineTest : public FleetTest {
  protected:
-  // Whole requests, one after the other, told apart by their query.
+  // Returns complete requests in a row, which differ in their query.
   static std::string Pipeline(std::string_view path) {
     std::string requests;
     for (std::size_t n = 0; n < kRequests; ++n) {
@@ -41,46 +41,48 @@
     });
   }
 
-  // All of them at once, which only a node that reads ahead makes.
+  // Waits until all requests have started. They run at the same time only if
+  // the node reads ahead on the connection.
   bool WaitUntilAllRun(const std::string& path) {
     return WaitUntil([&] { return CountOf("started", path) == kRequests; });
   }
 };
 
-enum class Ending : unsigned char { kEntry, kOwner, kTarget };
+enum class TerminatedProcess : unsigned char { kEntry, kOwner, kTarget };
 
-struct EndingCase {
+struct TerminationCase {
   const char* name;
-  Ending ending;
+  TerminatedProcess terminated;
 };
 
 class PipelineEndingTest : public PipelineTest,
-                           public testing::WithParamInterface<EndingCase> {
+                           public testing::WithParamInterface<TerminationCase> {
  protected:
-  ChildProcess& Ended(const std::string& path) {
-    if (GetParam().ending == Ending::kEntry)
+  ChildProcess& ProcessToTerminate(const std::string& path) {
+    if (GetParam().terminated == TerminatedProcess::kEntry)
       return *at(0).node;
     const std::size_t owner = WaitForRun(path + "?p=0");
-    return GetParam().ending == Ending::kOwner ? *at(owner).node
-                                               : *at(owner).target_process;
+    return GetParam().terminated == TerminatedProcess::kOwner
+               ? *at(owner).node
+               : *at(owner).target_process;
   }
 
-  // The bodies of the answers in the order in which they came.
-  static std::string BodiesOf(const std::string& bytes) {
-    constexpr std::string_view mark = "\r\n\r\ndigest ";
-    std::string bodies;
-    for (std::size_t found = bytes.find(mark); found != std::string::npos;
-         found = bytes.find(mark, found + 1))
-      bodies += bytes.substr(found + mark.size(), 16) + ",";
-    return bodies;
+  // Returns the digests of the answers in the order of arrival.
+  static std::string DigestsOf(const std::string& bytes) {
+    constexpr std::string_view body_prefix = "\r\n\r\ndigest ";
+    std::string digests;
+    for (std::size_t found = bytes.find(body_prefix);
+         found != std::string::npos; found = bytes.find(body_prefix, found + 1))
+      digests += bytes.substr(found + body_prefix.size(), 16) + ",";
+    return digests;
   }
 };
 
-// Symptom: a caller with several requests on their way gets some answers only.
-// Sequence: all of them run; the entry, an owner or a target is told to end.
-// Cause: what was read ahead is forgotten, or its connection closed, when its
-// turn has not come.
-TEST_P(PipelineEndingTest, WhatWasPassedOnIsAnsweredInOrder) {
+// Guards against a caller that gets only some of the answers to its pipelined
+// requests when the entry node, an owner node or a target receives SIGTERM
+// while all of them run. Answers are lost if requests that were read ahead are
+// dropped, or the connection is closed, before it is their turn.
+TEST_P(PipelineEndingTest, ForwardedRequestsAreAnsweredInOrder) {
   FleetOptions options;
   options.target_arguments = {"--linger-ms", "4000"};
   options.contract = TestContract("20s");
@@ -89,36 +91,35 @@
   const std::string path = "/sleep/1500";
   std::string expected;
   for (std::size_t n = 0; n < kRequests; ++n) {
-    const std::string whole = fmt::format("{}?p={}", path, n);
-    expected += DigestText(RequestDigest("GET", whole, "")) + ",";
+    const std::string target = fmt::format("{}?p={}", path, n);
+    expected += DigestText(RequestDigest("GET", target, "")) + ",";
   }
   RawCaller caller(at(0).caller);
   ASSERT_TRUE(caller.Send(Pipeline(path)));
   ASSERT_TRUE(WaitUntilAllRun(path));
-  ChildProcess& process = Ended(path);
+  ChildProcess& process = ProcessToTerminate(path);
   process.Terminate();
   ASSERT_TRUE(WaitUntil([&] {
     caller.ReadUntil(caller.bytes().size() + 1, std::chrono::milliseconds(50));
-    return BodiesOf(caller.bytes()).size() >= expected.size() ||
+    return DigestsOf(caller.bytes()).size() >= expected.size() ||
            caller.is_closed();
   }));
-  EXPECT_EQ(BodiesOf(caller.bytes()), expected) << caller.bytes();
+  EXPECT_EQ(DigestsOf(caller.bytes()), expected) << caller.bytes();
   EXPECT_EQ(process.WaitForExit().value_or(ExitStatus{}).code, 0);
 }
 
-INSTANTIATE_TEST_SUITE_P(Cases,
-                         PipelineEndingTest,
-                         testing::Values(EndingCase{"Entry", Ending::kEntry},
-                                         EndingCase{"Owner", Ending::kOwner},
-                                         EndingCase{"Target", Ending::kTarget}),
-                         [](const auto& info) {
-                           return std::string(info.param.name);
-                         });
-
-// Symptom: a target's slots are taken by requests that nobody waits for.
-// Sequence: a caller sends requests ahead that are never answered, and leaves.
-// Cause: its leaving ends the first of them only.
-TEST_F(PipelineTest, ACallerThatLeavesCancelsAllItSentAhead) {
+INSTANTIATE_TEST_SUITE_P(
+    Cases,
+    PipelineEndingTest,
+    testing::Values(TerminationCase{"Entry", TerminatedProcess::kEntry},
+                    TerminationCase{"Owner", TerminatedProcess::kOwner},
+                    TerminationCase{"Target", TerminatedProcess::kTarget}),
+    [](const auto& info) { return std::string(info.param.name); });
+
+// Guards against slots that stay occupied by the requests of a disconnected
+// caller: it pipelines requests that are never answered, and its disconnection
+// cancels only the first of them.
+TEST_F(PipelineTest, DisconnectedCallerCancelsAllPipelinedRequests) {
   FleetOptions options;
   options.contract = TestContract("20s");
   StartFleet(options);
--- a/source/process_tests/poison_test.cc
+++ b/source/process_tests/poison_test.cc
@@ -1,5 +1,6 @@
-// Proof that a request that crashes each target which runs it takes down only
-// a few, and that the requests beside it are answered later.
+// Tests that a request that crashes every target that runs it is quarantined
+// after a few crashes, and that the other requests that were in flight during a
+// crash are answered later.
 
 #include <cstddef>
 #include <string>
@@ -25,8 +26,8 @@
     return request;
   }
 
-  // Starts crashed targets again, and returns how many they were.
-  std::size_t Recover() {
+  // Restarts the crashed targets and returns their number.
+  std::size_t RestartCrashedTargets() {
     std::size_t crashes = 0;
     for (std::size_t i = 0; i < size(); ++i) {
       if (!at(i).target_process->IsRunning()) {
@@ -50,12 +51,12 @@
     : public PoisonRequestTest,
       public testing::WithParamInterface<PoisonMethodCase> {};
 
-// Symptom: the whole fleet goes down one target after the other.
-// Sequence: a request crashes its target; its caller sends it again, to each
-// entry in turn, and each time it meets another target.
-// Cause: nobody remembers what ran where a target went down. The bound: one
-// target for each copy that was in flight before the first crash was known,
-// and one more, which convicts. The named mutation: the owner tells nobody.
+// Guards against a request that crashes all targets one after the other: its
+// caller retries it through each entry node in turn, and each attempt reaches
+// another target, because no node records which requests ran at a crashed
+// target. The bound is one run for each copy that was in flight before the
+// first crash was known, and one more, after which the request is quarantined.
+// Must fail if the owner node does not report the crash to the other nodes.
 TEST_P(RepeatedPoisonTest, CrashesOnlyAFewTargets) {
   StartFleet();
   std::size_t crashes = 0;
@@ -76,7 +77,7 @@
       EXPECT_FALSE(answer.is_not_run() && RunsOf(answer.request_id) > 0)
           << ToText(answer);
     }
-    crashes += Recover();
+    crashes += RestartCrashedTargets();
   }
   for (const LedgerLine& line : Ledgers()) {
     const bool is_poison = line.event == "started" && line.path == "/order";
@@ -97,44 +98,43 @@
                     PoisonMethodCase{"ThreeEntriesAtOnce", "POST", 3}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// Symptom: innocent requests are refused for as long as the guilty one.
-// Sequence: a target crashes with the poison and others in flight; their
-// callers send all of them again. Cause: all that was in flight is suspect, and
-// nothing clears it. The named mutation: a finished run under a permit clears
-// nothing.
-TEST_F(PoisonRequestTest, InnocentRequestsAreClearedAndAnswered) {
+// Guards against unrelated requests that are refused for as long as the one
+// that crashes targets. All requests that are in flight at a crash become
+// suspects, and their callers retry them. Must fail if a run that finishes
+// under a permit does not clear its request of suspicion.
+TEST_F(PoisonRequestTest, UnrelatedRequestsAreClearedAndAnswered) {
   StartFleet();
-  // Only one target, so that all are in flight there.
+  // Leaves one target, so that all requests are in flight there.
   RemoveTarget(1);
   RemoveTarget(2);
-  constexpr std::size_t innocents = 5;
-  const auto innocent = [](std::size_t n) {
+  constexpr std::size_t unrelated_count = 5;
+  const auto unrelated_request = [](std::size_t n) {
     CallRequest request;
     request.path = fmt::format("/sleep/300?n={}", n);
     return request;
   };
   std::vector<std::future<CallAnswer>> calls;
-  for (std::size_t n = 0; n < innocents; ++n) {
-    calls.push_back(CallLater(n % size(), innocent(n)));
+  for (std::size_t n = 0; n < unrelated_count; ++n) {
+    calls.push_back(CallLater(n % size(), unrelated_request(n)));
   }
-  for (std::size_t n = 0; n < innocents; ++n) {
-    WaitForRun(innocent(n).path);
+  for (std::size_t n = 0; n < unrelated_count; ++n) {
+    WaitForRun(unrelated_request(n).path);
   }
   EXPECT_EQ(Call(1, Poison("POST")).outcome(), "unknown");
   for (auto& call : calls) {
     EXPECT_FALSE(call.get().is_answered());
   }
-  EXPECT_EQ(Recover(), 3U);
-  for (std::size_t n = 0; n < innocents; ++n) {
+  EXPECT_EQ(RestartCrashedTargets(), 3U);
+  for (std::size_t n = 0; n < unrelated_count; ++n) {
     EXPECT_TRUE(WaitUntil([&] {
-      return Call(n % size(), innocent(n)).is_answered();
-    })) << ToText(Call(n % size(), innocent(n)));
-    // Once all know that it is cleared, two copies run at once: a suspect runs
-    // alone.
+      return Call(n % size(), unrelated_request(n)).is_answered();
+    })) << ToText(Call(n % size(), unrelated_request(n)));
+    // A suspect runs alone. Two copies can run at once when all nodes know that
+    // the request is cleared.
     EXPECT_TRUE(WaitUntil([&] {
-      auto other = CallLater((n + 1) % size(), innocent(n));
+      auto other = CallLater((n + 1) % size(), unrelated_request(n));
       const bool is_answered =
-          Call((n + 2) % size(), innocent(n)).is_answered();
+          Call((n + 2) % size(), unrelated_request(n)).is_answered();
       return other.get().is_answered() && is_answered;
     })) << n;
   }
--- a/source/process_tests/process_fixture.cc
+++ b/source/process_tests/process_fixture.cc
@@ -27,7 +27,7 @@
 
 constexpr std::uint64_t kMaxAnswerBytes = std::uint64_t{1} << 30;
 
-// One request, driven by an io_context of its own so that it can time out.
+// Sends one request on its own io_context, so that the call can time out.
 class BlockingCall {
  public:
   BlockingCall() : m_stream(m_io) { m_parser.body_limit(kMaxAnswerBytes); }
@@ -59,12 +59,12 @@
     http::async_read(m_stream, m_buffer, m_parser,
                      [this](error_code error, std::size_t) {
                        if (!error) {
-                         Keep();
+                         StoreAnswer();
                        }
                      });
   }
 
-  void Keep() {
+  void StoreAnswer() {
     auto& message = m_parser.get();
     m_answer.status = message.result_int();
     m_answer.body = std::move(message.body());
@@ -116,7 +116,8 @@
   const std::filesystem::path parent = std::filesystem::temp_directory_path();
   std::string pattern = (parent / "bulrushmount_XXXXXX").string();
   if (::mkdtemp(pattern.data()) == nullptr) {
-    throw std::runtime_error("cannot make a folder for the test");
+    throw std::runtime_error(
+        "cannot create a temporary folder for the test: mkdtemp failed");
   }
   m_folder = pattern;
 }
@@ -130,8 +131,8 @@
   std::filesystem::remove_all(m_folder, ignored);
 }
 
-// The process id chooses the address, so tests that run side by side don't
-// meet; the kernel chooses a port that is free on it.
+// The address is derived from the process id, so that tests that run in
+// parallel do not collide; the kernel chooses a free port on it.
 Endpoint ProcessTest::FreeEndpoint() {
   const auto pid = static_cast<unsigned>(::getpid());
   ++m_addresses;
@@ -167,10 +168,10 @@
 
 std::unique_ptr<ChildProcess> ProcessTest::StartTarget(
     const Endpoint& listen,
-    const std::vector<std::string>& further_arguments) {
+    const std::vector<std::string>& extra_arguments) {
   std::vector<std::string> arguments{"--listen", ToString(listen)};
-  arguments.insert(arguments.end(), further_arguments.begin(),
-                   further_arguments.end());
+  arguments.insert(arguments.end(), extra_arguments.begin(),
+                   extra_arguments.end());
   auto process = Start(BULRUSHMOUNT_TARGET_STAND_IN, arguments);
   EXPECT_TRUE(WaitUntil([&] {
     return HttpCall(listen, "GET", "/ledger").status == 200;
--- a/source/process_tests/process_fixture.h
+++ b/source/process_tests/process_fixture.h
@@ -1,4 +1,5 @@
-// Starts, kills, freezes and watches real processes for the process tests.
+// The base fixture of the process tests: temporary files, loopback addresses,
+// blocking HTTP calls, and the processes of the platform and target stand-ins.
 
 #ifndef BULRUSHMOUNT_PROCESS_TESTS_PROCESS_FIXTURE_H_
 #define BULRUSHMOUNT_PROCESS_TESTS_PROCESS_FIXTURE_H_
@@ -21,16 +22,18 @@
 };
 
 struct HttpAnswer {
-  // 0 if no whole answer came.
+  // 0 if no complete answer arrived.
   unsigned status = 0;
   std::string body;
   std::vector<HttpHeader> headers;
 
-  // Empty if there is none; names in any case.
+  // Returns the header's value, or an empty string if the header is absent.
+  // Names are compared without regard to case.
   std::string Header(const std::string& name) const;
 };
 
-// One blocking request on a connection of its own.
+// Sends one request on a new connection and blocks until the answer is complete
+// or `limit` has passed.
 HttpAnswer HttpCall(const Endpoint& server,
                     const std::string& method,
                     const std::string& path,
@@ -38,26 +41,27 @@
                     const std::vector<HttpHeader>& headers = {},
                     Duration limit = kTestHangTimeout);
 
-// A folder for the test's files, addresses of its own, and the stand-ins.
+// Gives each test a temporary folder and unused endpoints, and starts
+// processes.
 class ProcessTest : public testing::Test {
  protected:
   ProcessTest();
-  // Removes the folder unless the test failed.
+  // Removes the folder, but keeps it if the test failed.
   ~ProcessTest() override;
 
-  // An endpoint in 127.0.0.0/8 on an address that no other call and no other
-  // running test process gets.
+  // Returns a free endpoint in 127.0.0.0/8, on an address that neither another
+  // call nor another running test process is given.
   Endpoint FreeEndpoint();
   std::string FilePath(const std::string& name) const;
   std::unique_ptr<ChildProcess> Start(
       const std::string& program,
       const std::vector<std::string>& arguments);
-  // Each returns once the program answers, and fails the test if it never
-  // does.
+  // Both return once the program answers requests, and fail the test if it
+  // never does.
   std::unique_ptr<ChildProcess> StartPlatform(const Endpoint& listen);
   std::unique_ptr<ChildProcess> StartTarget(
       const Endpoint& listen,
-      const std::vector<std::string>& further_arguments = {});
+      const std::vector<std::string>& extra_arguments = {});
 
  private:
   std::string m_folder;
--- a/source/process_tests/raw_caller.cc
+++ b/source/process_tests/raw_caller.cc
@@ -21,7 +21,7 @@
   address.sin_family = AF_INET;
   address.sin_port = htons(server.port);
   ::inet_pton(AF_INET, server.ip.c_str(), &address.sin_addr);
-  // Loopback connects at once or fails.
+  // On loopback, connect() succeeds or fails without delay.
   m_is_closed = ::connect(m_socket, reinterpret_cast<const sockaddr*>(&address),
                           sizeof(address)) != 0;
 }
@@ -31,13 +31,13 @@
 }
 
 bool RawCaller::Send(std::string_view bytes, Duration limit) {
-  const TimePoint give_up = Now() + limit;
+  const TimePoint deadline = Now() + limit;
   while (!bytes.empty() && !m_is_closed) {
     const ssize_t sent = ::send(m_socket, bytes.data(), bytes.size(),
                                 MSG_NOSIGNAL | MSG_DONTWAIT);
     if (sent > 0) {
       bytes.remove_prefix(static_cast<std::size_t>(sent));
-    } else if (errno != EAGAIN || !WaitFor(POLLOUT, give_up)) {
+    } else if (errno != EAGAIN || !WaitFor(POLLOUT, deadline)) {
       return false;
     }
   }
@@ -45,22 +45,22 @@
 }
 
 bool RawCaller::ReadUntil(std::size_t total, Duration limit) {
-  const TimePoint give_up = Now() + limit;
-  while (m_bytes.size() < total && ReadSome(give_up)) {
+  const TimePoint deadline = Now() + limit;
+  while (m_bytes.size() < total && ReadSome(deadline)) {
   }
   return m_bytes.size() >= total;
 }
 
 bool RawCaller::ReadBody(std::size_t size, Duration limit) {
-  const TimePoint give_up = Now() + limit;
-  while (body().size() < size && ReadSome(give_up)) {
+  const TimePoint deadline = Now() + limit;
+  while (body().size() < size && ReadSome(deadline)) {
   }
   return body().size() >= size;
 }
 
 bool RawCaller::ReadToEnd(Duration limit) {
-  const TimePoint give_up = Now() + limit;
-  while (ReadSome(give_up)) {
+  const TimePoint deadline = Now() + limit;
+  while (ReadSome(deadline)) {
   }
   return m_is_closed;
 }
@@ -83,22 +83,22 @@
              : std::string_view(m_bytes).substr(end + end_of_head.size());
 }
 
-bool RawCaller::WaitFor(short events, TimePoint give_up) {
+bool RawCaller::WaitFor(short events, TimePoint deadline) {
   const auto left =
-      std::chrono::duration_cast<std::chrono::milliseconds>(give_up - Now());
+      std::chrono::duration_cast<std::chrono::milliseconds>(deadline - Now());
   pollfd poll{m_socket, events, 0};
   return ::poll(&poll, 1, std::max<int>(0, left.count())) > 0;
 }
 
-bool RawCaller::ReadSome(TimePoint give_up) {
-  if (m_is_closed || !WaitFor(POLLIN, give_up)) {
+bool RawCaller::ReadSome(TimePoint deadline) {
+  if (m_is_closed || !WaitFor(POLLIN, deadline)) {
     return false;
   }
-  std::array<char, 65536> piece{};
+  std::array<char, 65536> buffer{};
   const ssize_t length =
-      ::recv(m_socket, piece.data(), piece.size(), MSG_DONTWAIT);
+      ::recv(m_socket, buffer.data(), buffer.size(), MSG_DONTWAIT);
   if (length > 0) {
-    m_bytes.append(piece.data(), static_cast<std::size_t>(length));
+    m_bytes.append(buffer.data(), static_cast<std::size_t>(length));
     return true;
   }
   m_is_closed = true;
--- a/source/process_tests/raw_caller.h
+++ b/source/process_tests/raw_caller.h
@@ -1,5 +1,5 @@
-// A caller's connection by hand: a test decides which bytes it sends, and how
-// far it reads before the next step.
+// A raw TCP connection of a caller: the test chooses the bytes that it sends
+// and how much it reads before the next step.
 
 #ifndef BULRUSHMOUNT_PROCESS_TESTS_RAW_CALLER_H_
 #define BULRUSHMOUNT_PROCESS_TESTS_RAW_CALLER_H_
@@ -12,36 +12,40 @@
 
 namespace bulrushmount {
 
+// Holds one blocking connection to a node and all bytes received on it.
 class RawCaller {
  public:
-  // Connects; a refused connection counts as closed.
+  // Connects to `server`; a refused connection counts as closed.
   explicit RawCaller(const Endpoint& server);
   ~RawCaller();
 
   RawCaller(const RawCaller&) = delete;
   RawCaller& operator=(const RawCaller&) = delete;
 
-  // False if the other side closed the connection before it took all bytes.
+  // Returns false if the server closed the connection before it had accepted
+  // all bytes, or if the limit passed.
   bool Send(std::string_view bytes, Duration limit = kTestHangTimeout);
-  // Reads until `total` bytes have come since the start; false if the
-  // connection ends or the limit passes before.
+  // Reads until `total` bytes have been received since the connection was
+  // opened. Returns false if it closes or the limit passes first.
   bool ReadUntil(std::size_t total, Duration limit = kTestHangTimeout);
-  // The same for `size` bytes after the first answer's head.
+  // Reads until `size` bytes have been received after the head of the first
+  // answer. Returns false as ReadUntil does.
   bool ReadBody(std::size_t size, Duration limit = kTestHangTimeout);
-  // Reads until the other side closes; false if it does not within the limit.
+  // Reads until the server closes the connection; returns false if it does not
+  // within the limit.
   bool ReadToEnd(Duration limit = kTestHangTimeout);
 
-  // All that came.
+  // All bytes received so far.
   const std::string& bytes() const { return m_bytes; }
   bool is_closed() const { return m_is_closed; }
-  // Of the first answer; 0 if none has begun.
+  // The status code of the first answer, or 0 if none has begun.
   unsigned status() const;
-  // What follows the first answer's head.
+  // All bytes received after the head of the first answer.
   std::string_view body() const;
 
  private:
-  bool WaitFor(short events, TimePoint give_up);
-  bool ReadSome(TimePoint give_up);
+  bool WaitFor(short events, TimePoint deadline);
+  bool ReadSome(TimePoint deadline);
 
   int m_socket = -1;
   std::string m_bytes;
--- a/source/process_tests/stand_ins_test.cc
+++ b/source/process_tests/stand_ins_test.cc
@@ -1,5 +1,5 @@
-// The stand-ins and the fixture as real processes: what the other process tests
-// rely on for their verdicts.
+// Tests the stand-ins and the fixture with real processes: the behaviour that
+// the expectations of the other process tests depend on.
 
 #include <csignal>
 #include <future>
@@ -28,10 +28,9 @@
   }
 };
 
-// Symptom: a killed target's ledger lacks a request that it was running, and a
-// second run of that request looks like the first.
-// Sequence: a request starts, its target is killed with SIGKILL.
-// Cause: the ledger was written after the run, or only in memory.
+// Guards against a ledger that lacks a request that was running when its target
+// was killed with SIGKILL, so that a second run of it looks like the first.
+// This occurs if the ledger is written after the run or only in memory.
 TEST_F(StandInsTest, LedgerSurvivesKill) {
   const Endpoint platform = FreeEndpoint();
   const auto platform_process = StartPlatform(platform);
@@ -82,9 +81,8 @@
 class PoisonTest : public ProcessTest,
                    public testing::WithParamInterface<PoisonCase> {};
 
-// Symptom: a target vanishes with all requests that it ran.
-// Sequence: one request of a certain content arrives.
-// Cause: the content makes the target's process abort.
+// A request with certain content aborts the target's process, and with it all
+// requests that run there. Other tests rely on this to simulate such crashes.
 TEST_P(PoisonTest, PoisonRequestEndsTheTarget) {
   const Endpoint target = FreeEndpoint();
   const std::string ledger = FilePath("ledger");
@@ -103,9 +101,8 @@
                     PoisonCase{"Body", "/book", "a POISON b"}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// Symptom: a deployment cuts a request in progress.
-// Sequence: SIGTERM arrives while the target runs a request.
-// Cause: the process ended before its last answer.
+// Guards against a request that is cut off because its target receives SIGTERM
+// and exits before it has sent the last answer.
 TEST_F(StandInsTest, TerminatedTargetFinishesItsRequests) {
   const Endpoint target = FreeEndpoint();
   const std::string ledger = FilePath("ledger");
@@ -121,10 +118,9 @@
   EXPECT_EQ(process->WaitForExit().value_or(ExitStatus{}).code, 0);
 }
 
-// Symptom: a client waits on a link without end, or takes a cut link for a
-// clean one.
-// Sequence: the link stalls during a request, opens again, and is then cut.
-// Cause: the network between two processes.
+// The relay simulates faults of the network between two processes: a client
+// gets no answer over a stalled or cut link, and a request that is held by a
+// stalled link continues when the link opens again.
 TEST_F(StandInsTest, RelayStallsAndCuts) {
   const Endpoint platform = FreeEndpoint();
   const auto process = StartPlatform(platform);
@@ -146,7 +142,7 @@
   EXPECT_EQ(read(kTestHangTimeout), 200U);
 }
 
-TEST_F(StandInsTest, FrozenProcessGoesOnWhereItWas) {
+TEST_F(StandInsTest, FrozenProcessResumes) {
   const Endpoint platform = FreeEndpoint();
   const auto process = StartPlatform(platform);
   process->Freeze();
--- a/source/process_tests/timely_test.cc
+++ b/source/process_tests/timely_test.cc
@@ -1,6 +1,6 @@
-// Proof that every call gets a final answer, whoever is silent, slow or
-// stopped. The verdict is the outcome; the time is held against the deadline
-// with a margin of many seconds, and printed.
+// Tests that every call gets a final answer although processes are silent, slow
+// or frozen. The tests check the outcome, and compare the time with the
+// deadline plus a margin of 15 s, which allows for a busy machine.
 
 #include <algorithm>
 #include <chrono>
@@ -30,7 +30,7 @@
   using FleetTest::size;
 
  protected:
-  // The named mutation: the entry's deadline timer does nothing.
+  // Must fail if the deadline timer of the entry node has no effect.
   void ExpectFinalAnswers(std::vector<std::future<CallAnswer>>& calls) {
     std::size_t answered = 0;
     std::size_t not_run = 0;
@@ -38,11 +38,11 @@
     for (auto& call : calls) {
       const CallAnswer answer = call.get();
       EXPECT_NE(answer.outcome(), "") << ToText(answer);
-      EXPECT_LT(answer.took, milliseconds(kDeadlineMs) + kMargin)
+      EXPECT_LT(answer.elapsed, milliseconds(kDeadlineMs) + kMargin)
           << ToText(answer);
       answered += answer.is_answered() ? 1 : 0;
       not_run += answer.is_not_run() ? 1 : 0;
-      longest = std::max(longest, answer.took);
+      longest = std::max(longest, answer.elapsed);
     }
     fmt::print("calls {} answered {} not_run {} deadline_ms {} longest_ms {}\n",
                calls.size(), answered, not_run, kDeadlineMs,
@@ -53,20 +53,19 @@
 struct SilenceCase {
   const char* name;
   const char* path;
-  // Entries that calls are sent to start with this one.
+  // Calls are sent to the entry nodes from this index on.
   std::size_t first_entry;
   void (*begin)(TimelyTest& test);
 };
 
-void Nothing(TimelyTest&) {}
+void DoNothing(TimelyTest&) {}
 
 class SilenceTest : public TimelyTest,
                     public testing::WithParamInterface<SilenceCase> {};
 
-// Symptom: a narrator waits at the microphone and hears nothing at all.
-// Sequence: a part that the calls need is silent, stopped or slow, without its
-// connections closing.
-// Cause: a wait without a limit.
+// Guards against a caller that never gets an answer: a component that its call
+// needs is silent, frozen or slow while its connections stay open, and some
+// wait has no timeout.
 TEST_P(SilenceTest, EveryCallGetsAFinalAnswer) {
   StartFleet();
   GetParam().begin(*this);
@@ -90,7 +89,7 @@
 INSTANTIATE_TEST_SUITE_P(
     Cases,
     SilenceTest,
-    testing::Values(SilenceCase{"TargetsSilent", "/silent", 0, Nothing},
+    testing::Values(SilenceCase{"TargetsSilent", "/silent", 0, DoNothing},
                     SilenceCase{"OwnersStopped", "/read", 2,
                                 [](TimelyTest& test) {
                                   test.at(0).node->Freeze();
@@ -127,11 +126,10 @@
 class StallTest : public TimelyTest,
                   public testing::WithParamInterface<StallCase> {};
 
-// Symptom: a download stands still for ever.
-// Sequence: an answer has begun, and then no byte of it moves any more.
-// Cause: the deadline ends with the answer's first byte, and nothing follows
-// it.
-TEST_P(StallTest, StalledAnswerIsBrokenOff) {
+// Guards against a download that stalls forever after its first byte. The
+// deadline applies only until that byte, so a minimum progress time has to
+// limit the rest of the answer.
+TEST_P(StallTest, StalledAnswerIsAborted) {
   FleetOptions options;
   options.min_progress_time = "1s";
   StartFleet(options);
@@ -148,7 +146,7 @@
   const TimePoint begin = Now();
   EXPECT_TRUE(caller.ReadToEnd());
   EXPECT_FALSE(caller.bytes().ends_with("0\r\n\r\n"));
-  fmt::print("broken off after {} ms\n", ToMilliseconds(Now() - begin));
+  fmt::print("aborted after {} ms\n", ToMilliseconds(Now() - begin));
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -159,8 +157,8 @@
                     StallCase{"LargeOwnerStops", "/size/300000000", true}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// An answer that goes on, however slowly, is whole.
-TEST_F(TimelyTest, TricklingAnswerIsWhole) {
+// An answer that makes progress, however slowly, is not aborted.
+TEST_F(TimelyTest, SlowAnswerIsCompleted) {
   FleetOptions options;
   options.min_progress_time = "2s";
   StartFleet(options);
@@ -169,7 +167,7 @@
   request.deadline_ms = kDeadlineMs;
   const CallAnswer answer = Call(0, request);
   EXPECT_TRUE(answer.is_answered()) << ToText(answer);
-  EXPECT_GT(answer.took, milliseconds(kDeadlineMs));
+  EXPECT_GT(answer.elapsed, milliseconds(kDeadlineMs));
 }
 
 }  // namespace
--- a/source/process_tests/whole_answer_test.cc
+++ b/source/process_tests/whole_answer_test.cc
@@ -1,6 +1,6 @@
-// Proof that a caller gets the whole answer to its own request, or sees that it
-// is broken: answers carry digests of their requests, and broken ones must not
-// end cleanly.
+// Tests that a caller gets the complete answer to its own request or detects
+// that it is truncated. Answers carry digests of their requests, and a
+// truncated answer must not end like a complete one.
 
 #include <cstddef>
 #include <cstdint>
@@ -34,8 +34,9 @@
   using FleetTest::at;
 
  protected:
-  // The named mutation: an entry ends a broken answer as if it were whole.
-  CallAnswer CheckedRead(std::size_t n) {
+  // Sends one of three kinds of calls and checks an answer's digest. Must fail
+  // if an entry node ends a truncated answer as if it were complete.
+  CallAnswer CallAndCheckAnswer(std::size_t n) {
     CallRequest request;
     request.path = n % 3 == 0 ? fmt::format("/size/{}?n={}", 1000 * (n % 90), n)
                    : n % 3 == 1 ? fmt::format("/trickle/4/1?n={}", n)
@@ -60,10 +61,10 @@
   }
 };
 
-// Symptom: a reader gets a part of another reader's answer.
-// Sequence: many calls over kept connections, while a target is killed and a
-// node is stopped and goes on, so that answers come late.
-// Cause: a connection reused though its exchange had not ended.
+// Guards against a caller that gets a part of another caller's answer because a
+// connection is reused before its exchange has ended. There are many calls over
+// persistent connections, and answers are late because a target is killed and a
+// node is frozen and resumed.
 TEST_F(WholeAnswerTest, LoadSeesOnlyItsOwnAnswers) {
   StartFleet();
   const auto load =
@@ -109,13 +110,13 @@
   fmt::print("{}", summary);
 }
 
-// Symptom: the next caller on a connection reads the end of a cancelled answer.
-// Sequence: callers hang up in the middle of answers, or before them, while
-// others read theirs.
-// Cause: a late answer let into a stream that is another call's by now.
-TEST_F(WholeAnswerTest, CancelledCallsLeaveNoTrace) {
+// Guards against a caller that reads the end of a cancelled answer. Callers
+// disconnect before or during their answers while others read theirs, and a
+// late answer enters a stream that already belongs to another call.
+TEST_F(WholeAnswerTest, CancelledCallsDoNotAffectOthers) {
   StartFleet();
-  BackgroundCalls calls(8, [this](std::size_t n) { return CheckedRead(n); });
+  BackgroundCalls calls(
+      8, [this](std::size_t n) { return CallAndCheckAnswer(n); });
   for (std::size_t n = 0; n < 200; ++n) {
     const std::string path = n % 2 == 0 ? fmt::format("/size/4000000?c={}", n)
                                         : fmt::format("/sleep/40?c={}", n);
@@ -123,7 +124,7 @@
     EXPECT_TRUE(caller.Send(HeadOf("GET", path)));
     if (n % 4 == 0) {
       EXPECT_TRUE(caller.ReadUntil(1));
-      // Into the body, unless it is refused.
+      // Reads part of the body, unless the call is refused.
       caller.ReadUntil(500 * n, std::chrono::milliseconds(100));
     }
   }
@@ -143,25 +144,26 @@
   }
   RawCaller caller(at(0).caller);
   ASSERT_TRUE(caller.Send(requests));
-  std::string seen;
+  std::string digests;
   ASSERT_TRUE(WaitUntil([&] {
     caller.ReadUntil(caller.bytes().size() + 1, std::chrono::milliseconds(50));
-    seen.clear();
-    constexpr std::string_view mark = "\r\n\r\ndigest ";
-    for (std::size_t found = caller.bytes().find(mark);
+    digests.clear();
+    constexpr std::string_view body_prefix = "\r\n\r\ndigest ";
+    for (std::size_t found = caller.bytes().find(body_prefix);
          found != std::string::npos;
-         found = caller.bytes().find(mark, found + 1)) {
-      seen += caller.bytes().substr(found + mark.size(), 16) + ",";
+         found = caller.bytes().find(body_prefix, found + 1)) {
+      digests += caller.bytes().substr(found + body_prefix.size(), 16) + ",";
     }
-    return seen.size() >= expected.size() || caller.is_closed();
+    return digests.size() >= expected.size() || caller.is_closed();
   })) << caller.bytes();
-  EXPECT_EQ(seen, expected) << caller.bytes();
+  EXPECT_EQ(digests, expected) << caller.bytes();
 }
 
 struct BreakCase {
   const char* name;
   const char* path;
-  // Of the process to kill: that of the owner's or the entry's instance.
+  // Select the process to kill: on the instance of the owner node or of the
+  // entry node, the target or the node.
   bool is_owner;
   bool is_target;
 };
@@ -169,12 +171,12 @@
 class BreakTest : public WholeAnswerTest,
                   public testing::WithParamInterface<BreakCase> {};
 
-// Symptom: a half master file is taken for a whole one.
-// Sequence: an answer is on its way when a process that it passes is killed.
-// Cause: the end of a connection is passed on as the end of the answer.
-TEST_P(BreakTest, BrokenAnswerDoesNotEndCleanly) {
+// Guards against a truncated file that is taken for a complete one. A process
+// on the path of an answer is killed, and the end of its connection is
+// forwarded as the end of the answer.
+TEST_P(BreakTest, TruncatedAnswerDoesNotEndCleanly) {
   StartFleet();
-  // An entry without a target of its own: the owner is another node.
+  // Leaves the entry node without a target, so that another node is the owner.
   RemoveTarget(0);
   RawCaller caller(at(0).caller);
   ASSERT_TRUE(caller.Send(HeadOf("GET", GetParam().path)));
@@ -191,7 +193,7 @@
     EXPECT_NE(caller.bytes().find("ontent-"), std::string::npos);
     EXPECT_LT(caller.body().size(), 300 * kMegabyte);
   }
-  fmt::print("broken after {} bytes\n", caller.bytes().size());
+  fmt::print("truncated after {} bytes\n", caller.bytes().size());
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/source/process_tests/workspace_limit_test.cc
+++ b/source/process_tests/workspace_limit_test.cc
@@ -1,5 +1,6 @@
-// Proof that a workspace far below its limits is not refused by them: its
-// contract allows 100,000 units a second, and it sends a few hundred.
+// Tests that the limiter does not refuse a workspace that is far below its
+// limits: its contract allows 100,000 units a second, and it uses a few
+// hundred.
 
 #include <cstddef>
 #include <string>
@@ -15,12 +16,11 @@
 
 class WorkspaceLimitTest : public FleetTest {};
 
-// Symptom: a workspace is refused with workspace-rate-limit though it is far
-// below its limit, at its first calls and after each rise of its demand.
-// Sequence: an entry admits from its own part of the limit until its home
-// answers; from then on it has only what the home lends for the little demand
-// that it has seen.
-// Cause: a loan that is smaller than what the entry might admit without one.
+// Guards against workspace-rate-limit refusals far below the limit, at the
+// first calls and after each rise in demand. They occur if the limiter home
+// lends an entry node credit for the small demand seen so far, and this loan is
+// smaller than the local share from which the entry node admits calls without a
+// loan.
 TEST_F(WorkspaceLimitTest, CallsWithinTheLimitAreNotRefused) {
   FleetOptions options;
   options.is_warmed_up = false;
