--- a/source/soak/fault_schedule.cc
+++ b/source/soak/fault_schedule.cc
@@ -17,22 +17,23 @@
 
 using std::chrono::milliseconds;
 
-// One fault, or one series, in this time for each node: a fleet of ten has
-// several faults at any moment.
+// The mean time between single faults or series at one node. In a fleet of ten
+// nodes several faults are active at any moment.
 constexpr Duration kMeanGapPerNode = std::chrono::seconds(8);
 constexpr double kSeriesFraction = 0.3;
-constexpr std::size_t kLongestSeries = 4;
-constexpr Duration kSeriesGap = milliseconds(700);
-// Around the time in which a node that is silent is taken for dead (2 s), on
-// both sides of it.
-constexpr Duration kShortest = milliseconds(100);
-constexpr Duration kLongest = milliseconds(4000);
-// Shorter than a client's patience, or its wait would be the fault's doing.
-constexpr Duration kLongestFreeze = milliseconds(2500);
+constexpr std::size_t kMaxSeriesLength = 4;
+constexpr Duration kMeanSeriesGap = milliseconds(700);
+// The range of durations includes the time after which a silent node is
+// declared dead (2 s), so that faults are both shorter and longer than it.
+constexpr Duration kMinFaultDuration = milliseconds(100);
+constexpr Duration kMaxFaultDuration = milliseconds(4000);
+// Shorter than the timeout of a client: otherwise a client could time out
+// merely because its node is frozen.
+constexpr Duration kMaxFreezeDuration = milliseconds(2500);
 constexpr double kStoreForAllFraction = 0.4;
 
-// One fault in four is the operator's: a fleet changes more often than it
-// fails.
+// One event in four is a change of routes by the operator, since a fleet
+// changes more often than it fails.
 constexpr double kMoveRoutesFraction = 0.25;
 
 constexpr std::array kKinds = {FaultKind::kKillNode,
@@ -56,21 +57,24 @@
 constexpr std::array kLinks = {platform::Link::kStore, platform::Link::kServer,
                                platform::Link::kStream};
 
-Duration Between(SeededRandomSource& random, Duration least, Duration most) {
-  return least + FromSeconds(ToSeconds(most - least) * random.Fraction());
+Duration RandomDuration(SeededRandomSource& random,
+                        Duration min,
+                        Duration max) {
+  return min + FromSeconds(ToSeconds(max - min) * random.Fraction());
 }
 
-Fault DrawFault(SeededRandomSource& random, std::size_t nodes) {
+Fault GenerateFault(SeededRandomSource& random, std::size_t nodes) {
   Fault fault;
   fault.kind = random.Fraction() < kMoveRoutesFraction
                    ? FaultKind::kMoveRoutes
                    : kKinds.at(random.Index(kKinds.size()));
   fault.node = random.Index(nodes);
   fault.link = kLinks.at(random.Index(kLinks.size()));
-  fault.is_for_all = random.Fraction() < kStoreForAllFraction;
-  fault.lasts =
-      Between(random, kShortest,
-              fault.kind == FaultKind::kFreezeNode ? kLongestFreeze : kLongest);
+  fault.affects_all_nodes = random.Fraction() < kStoreForAllFraction;
+  fault.duration =
+      RandomDuration(random, kMinFaultDuration,
+                     fault.kind == FaultKind::kFreezeNode ? kMaxFreezeDuration
+                                                          : kMaxFaultDuration);
   return fault;
 }
 
@@ -88,9 +92,9 @@
 
 }  // namespace
 
-std::vector<Fault> DrawSchedule(std::uint64_t seed,
-                                Duration length,
-                                std::size_t nodes) {
+std::vector<Fault> GenerateSchedule(std::uint64_t seed,
+                                    Duration length,
+                                    std::size_t nodes) {
   SeededRandomSource random(seed);
   const double mean_gap =
       ToSeconds(kMeanGapPerNode) / static_cast<double>(nodes);
@@ -100,16 +104,16 @@
     at += FromSeconds(-mean_gap * std::log(1 - random.Fraction()));
     if (at >= length)
       break;
-    Fault fault = DrawFault(random, nodes);
+    Fault fault = GenerateFault(random, nodes);
     const bool is_series = random.Fraction() < kSeriesFraction;
     const std::size_t count =
-        is_series ? 2 + random.Index(kLongestSeries - 1) : 1;
+        is_series ? 2 + random.Index(kMaxSeriesLength - 1) : 1;
     Duration begins = at;
     for (std::size_t number = 0; number < count; ++number) {
       fault.at = begins;
       faults.push_back(fault);
-      begins += Between(random, milliseconds(1), 2 * kSeriesGap);
-      // Half of a series stays where it began.
+      begins += RandomDuration(random, milliseconds(1), 2 * kMeanSeriesGap);
+      // With probability 1/2 the next fault of the series hits another node.
       if (random.Fraction() < 0.5)
         fault.node = random.Index(nodes);
     }
@@ -165,8 +169,8 @@
 std::string ToText(const Fault& fault) {
   return fmt::format("at={:.3f} kind={} node={} link={} for={:.3f} all={}",
                      ToSeconds(fault.at), ToText(fault.kind), fault.node,
-                     ToText(fault.link), ToSeconds(fault.lasts),
-                     fault.is_for_all);
+                     ToText(fault.link), ToSeconds(fault.duration),
+                     fault.affects_all_nodes);
 }
 
 }  // namespace bulrushmount::soak
--- a/source/soak/fault_schedule.h
+++ b/source/soak/fault_schedule.h
@@ -1,5 +1,6 @@
-// Which faults a soak causes, when and where: a function of its seed, so that a
-// run that failed can be played again.
+// Generates the schedule of faults that a soak run injects. The schedule
+// depends only on the seed, the length and the number of nodes, so that a
+// failed run can be repeated.
 
 #ifndef BULRUSHMOUNT_SOAK_FAULT_SCHEDULE_H_
 #define BULRUSHMOUNT_SOAK_FAULT_SCHEDULE_H_
@@ -15,51 +16,53 @@
 namespace bulrushmount::soak {
 
 enum class FaultKind : std::uint8_t {
-  // A node: SIGKILL, SIGSTOP for a while, SIGTERM, SIGHUP.
+  // Faults of a node process: SIGKILL, SIGSTOP followed by SIGCONT, SIGTERM,
+  // SIGHUP.
   kKillNode,
   kFreezeNode,
   kTerminateNode,
   kReloadNode,
-  // A server: gone without a word, not running for a while, leaving as planned,
-  // answers that break off.
+  // Faults of a server: it is killed, stops responding for a while, drains and
+  // leaves, or truncates its answers.
   kCrashServer,
   kHangServer,
   kDrainServer,
   kBreakAnswers,
-  // The store, for one node or for all.
+  // Faults of the table service, as seen by one node or by all nodes.
   kStoreDown,
   kStoreSilent,
   kStoreSlow,
   kStoreLosesAnswers,
   kStoreForgetsHistory,
-  // What a node has with its store, its server, or the nodes that send to it.
+  // Faults of a link of a node: to the table service, to its server, or from
+  // the nodes that send to it.
   kCutLink,
   kStallLink,
   kStallLinkDown,
   kSlowLink,
-  // The operator writes a new version of the routes.
+  // Not a fault: the operator writes a new version of the routes.
   kMoveRoutes,
 };
 
 struct Fault {
   FaultKind kind = FaultKind::kKillNode;
-  // From the start of the traffic.
+  // The time since the start of the traffic.
   Duration at{};
-  // Until it is undone; nothing is for the kinds that are over at once.
-  Duration lasts{};
+  // The time until the fault is undone; unused for kinds without a duration.
+  Duration duration{};
   std::size_t node = 0;
-  // Only of links.
+  // Used only for faults of links.
   platform::Link link = platform::Link::kStore;
-  // Only of the store: it fails every node.
-  bool is_for_all = false;
+  // Used only for faults of the table service: whether all nodes are affected.
+  bool affects_all_nodes = false;
 
   friend bool operator==(const Fault&, const Fault&) = default;
 };
 
-// In order of time; single ones and series, which may overlap.
-std::vector<Fault> DrawSchedule(std::uint64_t seed,
-                                Duration length,
-                                std::size_t nodes);
+// Returns single faults and series of faults, sorted by time. They may overlap.
+std::vector<Fault> GenerateSchedule(std::uint64_t seed,
+                                    Duration length,
+                                    std::size_t nodes);
 
 std::string ToText(FaultKind kind);
 std::string ToText(const Fault& fault);
--- a/source/soak/fault_schedule_test.cc
+++ b/source/soak/fault_schedule_test.cc
@@ -1,4 +1,5 @@
-// A seed that failed must play again as it was.
+// Tests that a seed always gives the same schedule, so that a failed run can be
+// repeated.
 
 #include "soak/fault_schedule.h"
 
@@ -12,21 +13,21 @@
 constexpr Duration kLength = std::chrono::minutes(5);
 constexpr std::size_t kNodes = 6;
 
-TEST(FaultScheduleTest, IsAFunctionOfItsSeed) {
-  const std::vector<Fault> faults = DrawSchedule(7, kLength, kNodes);
-  EXPECT_EQ(faults, DrawSchedule(7, kLength, kNodes));
-  EXPECT_NE(faults, DrawSchedule(8, kLength, kNodes));
+TEST(FaultScheduleTest, DependsOnlyOnItsSeed) {
+  const std::vector<Fault> faults = GenerateSchedule(7, kLength, kNodes);
+  EXPECT_EQ(faults, GenerateSchedule(7, kLength, kNodes));
+  EXPECT_NE(faults, GenerateSchedule(8, kLength, kNodes));
 }
 
 TEST(FaultScheduleTest, HasEveryKindInOrderOfTime) {
-  const std::vector<Fault> faults = DrawSchedule(7, kLength, kNodes);
+  const std::vector<Fault> faults = GenerateSchedule(7, kLength, kNodes);
   std::set<FaultKind> kinds;
-  Duration before{};
+  Duration previous{};
   for (const Fault& fault : faults) {
     kinds.insert(fault.kind);
-    EXPECT_GE(fault.at, before);
+    EXPECT_GE(fault.at, previous);
     EXPECT_LT(fault.node, kNodes);
-    before = fault.at;
+    previous = fault.at;
   }
   EXPECT_EQ(kinds.size(), static_cast<std::size_t>(FaultKind::kMoveRoutes) + 1);
 }
--- a/source/soak/main.cc
+++ b/source/soak/main.cc
@@ -1,5 +1,5 @@
-// Plays soaks and says what was broken: one seed, or each line of a file of
-// seeds that failed before.
+// Runs soak tests and reports the violated guarantees: for one seed, or for
+// each line of a file of seeds that failed before.
 
 #include <algorithm>
 #include <cstddef>
@@ -22,8 +22,8 @@
 namespace bulrushmount::soak {
 namespace {
 
-// The first ones say what went wrong; a run may have thousands.
-constexpr std::size_t kMostShown = 20;
+// A run may have thousands of violations; the first ones show the cause.
+constexpr std::size_t kMaxShownViolations = 20;
 
 std::string MakeFolder(std::uint64_t seed) {
   const auto folder = std::filesystem::temp_directory_path() /
@@ -32,8 +32,8 @@
   return folder.string();
 }
 
-// True if nothing was broken; the logs stay if something was.
-bool PlayOne(SoakOptions options) {
+// Returns true if no guarantee was violated; otherwise keeps the logs.
+bool RunSeed(SoakOptions options) {
   const bool are_logs_kept = !options.folder.empty();
   if (are_logs_kept)
     std::filesystem::create_directories(options.folder);
@@ -42,38 +42,42 @@
   SoakResult result;
   {
     SoakRun run(options);
-    result = run.Play();
+    result = run.Run();
   }
-  std::cout << result.figures << " broken=" << result.broken.size() << "\n";
-  const std::size_t shown = std::min(result.broken.size(), kMostShown);
+  std::cout << result.statistics << " broken=" << result.violations.size()
+            << "\n";
+  const std::size_t shown =
+      std::min(result.violations.size(), kMaxShownViolations);
   for (std::size_t at = 0; at < shown; ++at)
-    std::cout << "broken: " << result.broken[at] << "\n";
-  if (result.broken.empty() && !are_logs_kept)
+    std::cout << "broken: " << result.violations[at] << "\n";
+  if (result.violations.empty() && !are_logs_kept)
     std::filesystem::remove_all(options.folder);
   else
     std::cout << "logs: " << options.folder << "\n";
   std::cout.flush();
-  return result.broken.empty();
+  return result.violations.empty();
 }
 
-// Lines of "SEED SECONDS NODES | cause"; others beginning with # are comments.
-int PlayFile(const std::string& file, SoakOptions options) {
+// Runs each line of the form "SEED SECONDS NODES | cause"; lines that begin
+// with # are comments.
+int RunSeedFile(const std::string& file, SoakOptions options) {
   std::ifstream lines(file);
   std::string line;
-  bool is_whole = lines.good();
+  bool has_passed = lines.good();
   while (std::getline(lines, line)) {
     if (line.empty() || line.front() == '#')
       continue;
     std::istringstream words(line);
     std::int64_t seconds = 0;
     if (!(words >> options.seed >> seconds >> options.nodes)) {
-      std::cerr << "not SEED SECONDS NODES: " << line << "\n";
+      std::cerr << "invalid line, expected SEED SECONDS NODES: " << line
+                << "\n";
       return 2;
     }
     options.length = std::chrono::seconds(seconds);
-    is_whole = PlayOne(options) && is_whole;
+    has_passed = RunSeed(options) && has_passed;
   }
-  return is_whole ? 0 : 1;
+  return has_passed ? 0 : 1;
 }
 
 int Run(const cxxopts::ParseResult& parsed) {
@@ -82,41 +86,45 @@
   options.seed = parsed["seed"].as<std::uint64_t>();
   options.length = FromSeconds(60 * parsed["minutes"].as<double>());
   options.nodes = parsed["nodes"].as<std::size_t>();
-  options.is_calm = parsed["calm"].as<bool>();
-  options.calls_each = parsed["calls"].as<std::size_t>();
+  options.is_without_faults = parsed["calm"].as<bool>();
+  options.calls_per_node = parsed["calls"].as<std::size_t>();
   options.program = parsed["program"].as<std::string>();
   options.settings_template = BULRUSHMOUNT_NODE_TEMPLATE;
   if (parsed.count("logs") > 0)
     options.folder = parsed["logs"].as<std::string>();
   if (parsed.count("regressions") > 0)
-    return PlayFile(parsed["regressions"].as<std::string>(), options);
+    return RunSeedFile(parsed["regressions"].as<std::string>(), options);
   if (parsed["print-schedule"].as<bool>()) {
     for (const Fault& fault :
-         DrawSchedule(options.seed, options.length, options.nodes))
+         GenerateSchedule(options.seed, options.length, options.nodes))
       std::cout << ToText(fault) << "\n";
     return 0;
   }
-  return PlayOne(options) ? 0 : 1;
+  return RunSeed(options) ? 0 : 1;
 }
 
 }  // namespace
 }  // namespace bulrushmount::soak
 
 int main(int argc, char** argv) {
-  cxxopts::Options options("fault_soak",
-                           "Plays faults on a fleet of real nodes");
-  options.add_options()("seed", "Of schedule and traffic",
+  cxxopts::Options options(
+      "fault_soak",
+      "Injects faults into a fleet of real nodes and checks their guarantees");
+  options.add_options()("seed", "Seed of the fault schedule and the traffic",
                         cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "minutes", "Of traffic", cxxopts::value<double>()->default_value("1"))(
-      "nodes", "Each with its server",
+      "minutes", "Duration of the traffic in minutes",
+      cxxopts::value<double>()->default_value("1"))(
+      "nodes", "Number of nodes, each with one server",
       cxxopts::value<std::size_t>()->default_value("5"))(
-      "calls", "Under way at each node",
-      cxxopts::value<std::size_t>()->default_value("3"))("calm", "No faults")(
-      "print-schedule", "Only say what would be caused")(
-      "program", "Of the node",
+      "calls", "Calls in flight at each node",
+      cxxopts::value<std::size_t>()->default_value("3"))(
+      "calm", "Send traffic without faults")(
+      "print-schedule", "Print the fault schedule without running it")(
+      "program", "Path of the node program",
       cxxopts::value<std::string>()->default_value(BULRUSHMOUNT_NODE))(
-      "logs", "A folder that keeps the logs", cxxopts::value<std::string>())(
-      "regressions", "A file of seeds to play", cxxopts::value<std::string>());
+      "logs", "Folder in which the logs are kept",
+      cxxopts::value<std::string>())("regressions", "File of seeds to run",
+                                     cxxopts::value<std::string>());
   return bulrushmount::RunProgram(std::move(options), argc, argv,
                                   bulrushmount::soak::Run);
 }
--- a/source/soak/soak_run.cc
+++ b/source/soak/soak_run.cc
@@ -24,36 +24,39 @@
 using platform::StoreFaults;
 
 constexpr std::array<const char*, 2> kServices = {"booking", "search"};
-// A server that gets no word from its node leaves all the same.
+// After this time a draining server leaves although its node has not
+// acknowledged the drain.
 constexpr Duration kDrainTimeout = std::chrono::seconds(4);
 constexpr Duration kPollPeriod = std::chrono::milliseconds(20);
-// A node that is asked to leave may take its longest leave, 6 s, and as long
-// again on a busy machine.
-constexpr Duration kLongestExit = std::chrono::seconds(20);
-constexpr Duration kSlowStore = std::chrono::milliseconds(400);
+// After SIGTERM a node may take the longest leave time, 6 s, and as long again
+// on a busy machine.
+constexpr Duration kMaxExitTime = std::chrono::seconds(20);
+constexpr Duration kSlowStoreDelay = std::chrono::milliseconds(400);
 constexpr std::uint64_t kLostAnswers = 3;
 constexpr std::uint64_t kBrokenAnswers = 3;
-// Routes of old versions that a document keeps.
-constexpr std::uint64_t kKeptVersions = 40;
+// The number of older versions whose routes a document keeps.
+constexpr std::uint64_t kMaxOlderVersions = 40;
 
-// Of the calls: probes of the newest routes, clients that go early, calls with
-// no body and with a large one, and bookings.
+// Fractions of the calls: probes of the newest routes, clients that disconnect
+// early, calls with an empty or a large body, and bookings.
 constexpr double kProbeFraction = 0.1;
-constexpr double kLeavingFraction = 0.03;
-constexpr double kBodilessFraction = 0.5;
-constexpr double kLargeFraction = 0.05;
+constexpr double kEarlyDisconnectFraction = 0.03;
+constexpr double kEmptyBodyFraction = 0.5;
+constexpr double kLargeBodyFraction = 0.05;
 constexpr double kOnceFraction = 0.45;
-constexpr std::size_t kLargeBody = 200'000;
+constexpr std::size_t kLargeBodyBytes = 200'000;
 
-// Between an answer and a client's next request: a few hundred requests a
-// second at each node, so that several soaks share a machine.
+// The time between an answer and the client's next request. It limits the load
+// to a few hundred requests a second at each node, so that several soaks can
+// run on one machine.
 constexpr Duration kThinkTime = std::chrono::milliseconds(10);
 
-// As long as clients think: about half of all calls are at a server at any
-// moment, and a fault there meets some.
+// About the same as the think time: at any moment about half of all calls are
+// at a server, so that a fault of a server affects some of them.
 constexpr Duration kServiceTime = std::chrono::milliseconds(12);
 
-// Addresses that no other soak or test on the machine uses.
+// Returns a loopback address that is derived from the process id, so that no
+// other soak or test on the machine uses it.
 std::string IpOf(std::size_t index) {
   const auto pid = static_cast<unsigned>(::getpid());
   return fmt::format("127.{}.{}.{}", 1 + (pid / 250) % 250, 1 + pid % 250,
@@ -65,7 +68,7 @@
   faults.is_down = kind == FaultKind::kStoreDown;
   faults.is_silent = kind == FaultKind::kStoreSilent;
   if (kind == FaultKind::kStoreSlow)
-    faults.delay = kSlowStore;
+    faults.delay = kSlowStoreDelay;
   if (kind == FaultKind::kStoreLosesAnswers)
     faults.lose_answers = kLostAnswers;
   return faults;
@@ -78,32 +81,33 @@
       m_random(m_options.seed + 1),
       m_nodes(m_options.nodes) {}
 
-SoakResult SoakRun::Play() {
+SoakResult SoakRun::Run() {
   StartFleet();
   if (!WaitUntilServing()) {
-    RecordFailure("the fleet does not serve before any fault");
-    return {m_broken, {}};
+    RecordViolation("the fleet does not serve before the first fault");
+    return {m_violations, {}};
   }
   m_fleet->StartCalls(
       [this](std::size_t, platform::ClientCall& call) { MakeCall(call); },
-      m_options.calls_each, kThinkTime);
+      m_options.calls_per_node, kThinkTime);
   const TimePoint began = Now();
-  if (!m_options.is_calm) {
+  if (!m_options.is_without_faults) {
     for (const Fault& fault :
-         DrawSchedule(m_options.seed, m_options.length, m_options.nodes)) {
-      After(fault.at, [this, fault] { Cause(fault); });
+         GenerateSchedule(m_options.seed, m_options.length, m_options.nodes)) {
+      ScheduleAfter(fault.at, [this, fault] { InjectFault(fault); });
     }
   }
-  PlayUntil(began + m_options.length);
-  Heal();
+  RunUntil(began + m_options.length);
+  WaitForRecovery();
   if (!m_fleet->StopCalls())
-    RecordFailure("calls are still under way a minute after the last one");
+    RecordViolation(
+        "calls are still in flight a minute after the last one was sent");
   EndFleet();
   m_record.calls = m_fleet->TakeFinished();
   m_record.runs = m_fleet->Ledger();
-  for (std::string& line : FindBroken(m_record))
-    m_broken.push_back(std::move(line));
-  return {m_broken, Figures(m_record)};
+  for (std::string& line : FindViolations(m_record))
+    m_violations.push_back(std::move(line));
+  return {m_violations, FormatStatistics(m_record)};
 }
 
 void SoakRun::StartFleet() {
@@ -117,7 +121,7 @@
     plan.ips.push_back(IpOf(index));
     plan.services.emplace_back(kServices.at(index % kServices.size()));
   }
-  plan.document = Document();
+  plan.document = RoutesDocument();
   m_fleet = std::make_unique<NodeFleet>(plan);
   for (std::size_t index = 0; index < m_options.nodes; ++index)
     StartNode(index);
@@ -136,39 +140,41 @@
                  ClientVerdict::kServed;
     });
     if (!is_serving) {
-      RecordFailure(fmt::format("node {} does not serve version {}", index,
-                                m_version.load()));
+      RecordViolation(fmt::format("node {} does not serve version {}", index,
+                                  m_version.load()));
       return false;
     }
   }
   return true;
 }
 
-void SoakRun::After(Duration delay, Action action) {
-  m_due.push({Now() + delay, ++m_last_action, std::move(action)});
+void SoakRun::ScheduleAfter(Duration delay, Action action) {
+  m_scheduled.push(
+      {Now() + delay, ++m_last_sequence_number, std::move(action)});
 }
 
-void SoakRun::PlayUntil(TimePoint end) {
+void SoakRun::RunUntil(TimePoint end) {
   while (Now() < end) {
-    const TimePoint next = m_due.empty() ? end : std::min(end, m_due.top().at);
+    const TimePoint next =
+        m_scheduled.empty() ? end : std::min(end, m_scheduled.top().at);
     std::this_thread::sleep_until(next);
-    while (!m_due.empty() && m_due.top().at <= Now()) {
-      const Action action = m_due.top().action;
-      m_due.pop();
+    while (!m_scheduled.empty() && m_scheduled.top().at <= Now()) {
+      const Action action = m_scheduled.top().action;
+      m_scheduled.pop();
       action();
     }
     for (std::size_t index = 0; index < m_options.nodes; ++index) {
       if (!m_nodes[index].is_down && !m_nodes[index].is_leaving &&
           !m_fleet->IsRunning(index)) {
-        RecordFailure(fmt::format("node {} ended by itself", index));
+        RecordViolation(fmt::format("node {} exited unexpectedly", index));
         StartNode(index);
       }
     }
   }
 }
 
-void SoakRun::Cause(const Fault& fault) {
-  ++m_caused;
+void SoakRun::InjectFault(const Fault& fault) {
+  ++m_injected_faults;
   switch (fault.kind) {
     case FaultKind::kKillNode:
       return KillNode(fault);
@@ -195,17 +201,17 @@
     case FaultKind::kStoreSilent:
     case FaultKind::kStoreSlow:
     case FaultKind::kStoreLosesAnswers:
-      return FailStore(fault);
+      return InjectStoreFault(fault);
     case FaultKind::kStoreForgetsHistory:
       return m_fleet->ForgetHistory();
     case FaultKind::kCutLink:
-      return FailLink(fault, LinkState::kCut);
+      return InjectLinkFault(fault, LinkState::kCut);
     case FaultKind::kStallLink:
-      return FailLink(fault, LinkState::kStalled);
+      return InjectLinkFault(fault, LinkState::kStalled);
     case FaultKind::kStallLinkDown:
-      return FailLink(fault, LinkState::kStalledFromServer);
+      return InjectLinkFault(fault, LinkState::kStalledFromServer);
     case FaultKind::kSlowLink:
-      return FailLink(fault, LinkState::kSlow);
+      return InjectLinkFault(fault, LinkState::kSlow);
     case FaultKind::kMoveRoutes:
       return MoveRoutes();
   }
@@ -225,7 +231,8 @@
   state.is_down = true;
   state.is_frozen = false;
   m_fleet->node(fault.node).Kill();
-  After(fault.lasts, [this, index = fault.node] { StartNode(index); });
+  ScheduleAfter(fault.duration,
+                [this, index = fault.node] { StartNode(index); });
 }
 
 void SoakRun::FreezeNode(const Fault& fault) {
@@ -233,9 +240,9 @@
   if (state.is_down || state.is_frozen || !m_fleet->IsRunning(fault.node))
     return;
   state.is_frozen = true;
-  state.was_frozen_leaving |= state.is_leaving;
+  state.was_frozen_while_leaving |= state.is_leaving;
   m_fleet->node(fault.node).Freeze();
-  After(fault.lasts, [this, index = fault.node] {
+  ScheduleAfter(fault.duration, [this, index = fault.node] {
     m_nodes[index].is_frozen = false;
     m_fleet->node(index).Thaw();
   });
@@ -246,49 +253,51 @@
   if (state.is_down || state.is_leaving)
     return;
   state.is_leaving = true;
-  state.was_frozen_leaving = state.is_frozen;
+  state.was_frozen_while_leaving = state.is_frozen;
   m_fleet->node(fault.node).Terminate();
-  AwaitExit(fault.node, Now(), fault.lasts);
+  AwaitExit(fault.node, Now(), fault.duration);
 }
 
 void SoakRun::AwaitExit(std::size_t index,
                         TimePoint terminated_at,
                         Duration pause) {
   NodeState& state = m_nodes[index];
-  // Killed meanwhile, and started anew.
+  // The node has been killed in the meantime, and possibly restarted.
   if (state.is_down || !state.is_leaving)
     return;
   if (m_fleet->IsRunning(index)) {
-    if (Now() - terminated_at < kLongestExit) {
-      After(kPollPeriod, [=, this] { AwaitExit(index, terminated_at, pause); });
+    if (Now() - terminated_at < kMaxExitTime) {
+      ScheduleAfter(kPollPeriod,
+                    [=, this] { AwaitExit(index, terminated_at, pause); });
       return;
     }
-    RecordFailure(fmt::format("node {} does not end after SIGTERM", index));
+    RecordViolation(fmt::format("node {} does not exit after SIGTERM", index));
     m_fleet->node(index).Kill();
-  } else if (!HasEndedWell(index)) {
-    RecordFailure(
-        fmt::format("node {} ends with a fault after SIGTERM", index));
+  } else if (!HasExitedAsExpected(index)) {
+    RecordViolation(
+        fmt::format("node {} exits with an error after SIGTERM", index));
   }
   state.is_down = true;
-  After(pause, [this, index] { StartNode(index); });
+  ScheduleAfter(pause, [this, index] { StartNode(index); });
 }
 
-// A node that was frozen while it left may be out of time for its last calls,
-// and says so by its exit status.
-bool SoakRun::HasEndedWell(std::size_t index) {
+// A node that was frozen while it was leaving may have no time left for its
+// last calls; it then exits with EXIT_FAILURE.
+bool SoakRun::HasExitedAsExpected(std::size_t index) {
   const auto exit = m_fleet->node(index).WaitForExit();
-  const bool may_cut = m_nodes[index].was_frozen_leaving;
-  return exit->code == EXIT_SUCCESS || (may_cut && exit->code == EXIT_FAILURE);
+  const bool may_abort_calls = m_nodes[index].was_frozen_while_leaving;
+  return exit->code == EXIT_SUCCESS ||
+         (may_abort_calls && exit->code == EXIT_FAILURE);
 }
 
 void SoakRun::CrashServer(const Fault& fault) {
   NodeState& state = m_nodes[fault.node];
-  if (state.is_server_away)
+  if (state.is_server_leaving_or_down)
     return;
-  state.is_server_away = true;
+  state.is_server_leaving_or_down = true;
   m_fleet->KillServer(fault.node);
-  After(fault.lasts, [this, index = fault.node] {
-    m_nodes[index].is_server_away = false;
+  ScheduleAfter(fault.duration, [this, index = fault.node] {
+    m_nodes[index].is_server_leaving_or_down = false;
     m_fleet->StartServer(index);
   });
 }
@@ -302,19 +311,20 @@
     });
   };
   set(true);
-  After(fault.lasts, [set] { set(false); });
+  ScheduleAfter(fault.duration, [set] { set(false); });
 }
 
-// A request that a relay holds is on its way already: whether it begins later
-// says nothing of the node. So a server does not leave behind a faulty link.
+// A server is not drained while its link is faulty: a request that the relay
+// holds has already left the node, so a late start of it at the server is no
+// fault of the node.
 void SoakRun::DrainServer(const Fault& fault) {
   NodeState& state = m_nodes[fault.node];
-  if (state.is_server_away || state.link_faults[Link::kServer] > 0)
+  if (state.is_server_leaving_or_down || state.link_faults[Link::kServer] > 0)
     return;
-  state.is_server_away = true;
+  state.is_server_leaving_or_down = true;
   m_fleet->WithServer(fault.node,
                       [](ServerStandIn& server) { server.Drain(); });
-  AwaitDrain(fault.node, Now(), fault.lasts);
+  AwaitDrain(fault.node, Now(), fault.duration);
 }
 
 void SoakRun::AwaitDrain(std::size_t index, TimePoint began, Duration pause) {
@@ -323,41 +333,43 @@
     is_acknowledged = server.IsDrainAcknowledged();
   });
   if (!is_acknowledged && Now() - began < kDrainTimeout) {
-    After(kPollPeriod, [=, this] { AwaitDrain(index, began, pause); });
+    ScheduleAfter(kPollPeriod, [=, this] { AwaitDrain(index, began, pause); });
     return;
   }
   if (is_acknowledged)
     m_record.drains.push_back({m_fleet->InstanceOf(index), Now()});
-  After(kDrainTime, [this, index] {
+  ScheduleAfter(kDrainTime, [this, index] {
     m_fleet->WithServer(index,
                         [](ServerStandIn& server) { server.Leave([] {}); });
   });
-  After(kDrainTime + pause, [this, index] { m_fleet->KillServer(index); });
-  After(kDrainTime + 2 * pause, [this, index] {
-    m_nodes[index].is_server_away = false;
+  ScheduleAfter(kDrainTime + pause,
+                [this, index] { m_fleet->KillServer(index); });
+  ScheduleAfter(kDrainTime + 2 * pause, [this, index] {
+    m_nodes[index].is_server_leaving_or_down = false;
     m_fleet->StartServer(index);
   });
 }
 
-void SoakRun::FailStore(const Fault& fault) {
+void SoakRun::InjectStoreFault(const Fault& fault) {
   for (std::size_t index = 0; index < m_options.nodes; ++index) {
-    if (index != fault.node && !fault.is_for_all)
+    if (index != fault.node && !fault.affects_all_nodes)
       continue;
     ++m_nodes[index].store_faults;
     m_fleet->SetStoreFaults(index, FaultsOf(fault.kind));
-    After(fault.lasts, [this, index] {
+    ScheduleAfter(fault.duration, [this, index] {
       if (--m_nodes[index].store_faults == 0)
         m_fleet->SetStoreFaults(index, StoreFaults());
     });
   }
 }
 
-void SoakRun::FailLink(const Fault& fault, LinkState state) {
-  if (fault.link == Link::kServer && m_nodes[fault.node].is_server_away)
+void SoakRun::InjectLinkFault(const Fault& fault, LinkState state) {
+  if (fault.link == Link::kServer &&
+      m_nodes[fault.node].is_server_leaving_or_down)
     return;
   ++m_nodes[fault.node].link_faults[fault.link];
   m_fleet->SetLink(fault.node, fault.link, state);
-  After(fault.lasts, [this, index = fault.node, link = fault.link] {
+  ScheduleAfter(fault.duration, [this, index = fault.node, link = fault.link] {
     if (--m_nodes[index].link_faults[link] == 0)
       m_fleet->SetLink(index, link, LinkState::kOpen);
   });
@@ -365,16 +377,16 @@
 
 void SoakRun::MoveRoutes() {
   ++m_version;
-  m_fleet->WriteDocument(Document());
+  m_fleet->WriteDocument(RoutesDocument());
 }
 
-void SoakRun::Heal() {
-  // Every fault is undone by an action that is due some seconds from now.
-  while (!m_due.empty())
-    PlayUntil(m_due.top().at + std::chrono::milliseconds(1));
+void SoakRun::WaitForRecovery() {
+  // Each active fault is undone by an action that is due within a few seconds.
+  while (!m_scheduled.empty())
+    RunUntil(m_scheduled.top().at + std::chrono::milliseconds(1));
   if (WaitUntilServing())
     return;
-  RecordFailure("the fleet does not serve after the last fault");
+  RecordViolation("the fleet does not serve after the last fault");
 }
 
 void SoakRun::EndFleet() {
@@ -383,11 +395,11 @@
   for (std::size_t index = 0; index < m_options.nodes; ++index) {
     const auto exit = m_fleet->node(index).WaitForExit();
     if (!exit || exit->code != 0)
-      RecordFailure(fmt::format("node {} does not end cleanly", index));
+      RecordViolation(fmt::format("node {} does not exit cleanly", index));
   }
 }
 
-// Called on the loop of the clients.
+// Called on the event loop of the clients.
 void SoakRun::MakeCall(platform::ClientCall& call) {
   const double kind = m_random.Fraction();
   if (kind < kProbeFraction)
@@ -396,37 +408,38 @@
     call.path = kOncePrefix + call.request_id;
   else
     call.path = kSafePrefix + call.request_id;
-  if (m_random.Fraction() < kBodilessFraction)
+  if (m_random.Fraction() < kEmptyBodyFraction)
     call.body.clear();
-  if (m_random.Fraction() < kLargeFraction)
-    call.body.append(kLargeBody, 'x');
-  if (m_random.Fraction() < kLeavingFraction)
+  if (m_random.Fraction() < kLargeBodyFraction)
+    call.body.append(kLargeBodyBytes, 'x');
+  if (m_random.Fraction() < kEarlyDisconnectFraction)
     call.leaves_after = FromSeconds(m_random.Fraction() / 100);
 }
 
-// Each version moves the routes to the other service, and adds one of its own.
-std::string SoakRun::Document() const {
+// Each version switches the routes to the other service and adds a route of its
+// own.
+std::string SoakRun::RoutesDocument() const {
   const std::uint64_t version = m_version;
   const std::string service = kServices.at(version % kServices.size());
   std::vector<platform::RouteEntry> routes;
   routes.push_back({platform::kFleetHost, kSafePrefix, service});
   routes.push_back({platform::kFleetHost, kOncePrefix, service, false});
   const std::uint64_t oldest =
-      version > kKeptVersions ? version - kKeptVersions : 1;
+      version > kMaxOlderVersions ? version - kMaxOlderVersions : 1;
   for (std::uint64_t kept = oldest; kept <= version; ++kept)
     routes.push_back({platform::kFleetHost, VersionPrefix(kept), service});
   return platform::OperatorDocument(version, routes,
                                     {kServices.begin(), kServices.end()});
 }
 
-std::string SoakRun::Figures(const SoakRecord& record) {
+std::string SoakRun::FormatStatistics(const SoakRecord& record) {
   std::map<ClientVerdict, std::size_t> counts;
   for (const FinishedCall& finished : record.calls)
     ++counts[finished.outcome.verdict];
   std::string text =
       fmt::format("seed={} nodes={} length_s={:.0f} faults={} calls={}",
                   m_options.seed, m_options.nodes, ToSeconds(m_options.length),
-                  m_caused, record.calls.size());
+                  m_injected_faults, record.calls.size());
   for (const auto& [verdict, count] : counts)
     text += fmt::format(" {}={}", platform::ToText(verdict), count);
   std::uint64_t reads = 0;
--- a/source/soak/soak_run.h
+++ b/source/soak/soak_run.h
@@ -1,5 +1,5 @@
-// One soak: a fleet under traffic, a schedule of faults, and what the ledgers
-// say at the end.
+// Runs one soak test: starts a fleet of real nodes, sends traffic through it,
+// injects a schedule of faults, and checks the ledgers at the end.
 
 #ifndef BULRUSHMOUNT_SOAK_SOAK_RUN_H_
 #define BULRUSHMOUNT_SOAK_SOAK_RUN_H_
@@ -26,96 +26,108 @@
   std::uint64_t seed = 1;
   Duration length = std::chrono::minutes(1);
   std::size_t nodes = 5;
-  // Traffic only: for figures of a fleet without faults.
-  bool is_calm = false;
-  // At each node at any moment.
-  std::size_t calls_each = 3;
+  // Sends traffic but injects no faults, to measure a fleet without faults.
+  bool is_without_faults = false;
+  // The number of calls in flight at each node at any moment.
+  std::size_t calls_per_node = 3;
   std::string program;
   std::string settings_template;
-  // For settings and logs.
+  // The folder for settings files and logs.
   std::string folder;
 };
 
 struct SoakResult {
-  std::vector<std::string> broken;
-  // Key=value, one line.
-  std::string figures;
+  // One line for each violated guarantee or failed step of the run.
+  std::vector<std::string> violations;
+  // One line of key=value pairs.
+  std::string statistics;
 };
 
+// Owns the fleet, the scheduled actions and the record of one run.
 class SoakRun {
  public:
   explicit SoakRun(SoakOptions options);
 
-  SoakResult Play();
+  SoakResult Run();
 
  private:
   using Action = std::function<void()>;
 
-  struct DueAction {
+  struct ScheduledAction {
     TimePoint at;
-    // Keeps the order of those due together.
-    std::uint64_t number = 0;
+    // Orders actions that are due at the same time.
+    std::uint64_t sequence_number = 0;
     Action action;
 
-    friend bool operator>(const DueAction& one, const DueAction& other) {
-      return std::pair(one.at, one.number) > std::pair(other.at, other.number);
+    friend bool operator>(const ScheduledAction& one,
+                          const ScheduledAction& other) {
+      return std::pair(one.at, one.sequence_number) >
+             std::pair(other.at, other.sequence_number);
     }
   };
 
   void StartFleet();
   bool WaitUntilServing();
-  void After(Duration delay, Action action);
-  // Until nothing is due before `end`.
-  void PlayUntil(TimePoint end);
+  void ScheduleAfter(Duration delay, Action action);
+  // Runs scheduled actions until `end`, and restarts nodes that have exited
+  // unexpectedly.
+  void RunUntil(TimePoint end);
 
-  void Cause(const Fault& fault);
+  void InjectFault(const Fault& fault);
   void StartNode(std::size_t index);
   void KillNode(const Fault& fault);
   void FreezeNode(const Fault& fault);
   void TerminateNode(const Fault& fault);
   void AwaitExit(std::size_t index, TimePoint terminated_at, Duration pause);
-  bool HasEndedWell(std::size_t index);
+  bool HasExitedAsExpected(std::size_t index);
   void CrashServer(const Fault& fault);
   void HangServer(const Fault& fault);
   void DrainServer(const Fault& fault);
   void AwaitDrain(std::size_t index, TimePoint began, Duration pause);
-  void FailStore(const Fault& fault);
-  void FailLink(const Fault& fault, LinkState state);
+  void InjectStoreFault(const Fault& fault);
+  void InjectLinkFault(const Fault& fault, LinkState state);
   void MoveRoutes();
-  void RecordFailure(const std::string& what) { m_broken.push_back(what); }
+  void RecordViolation(const std::string& what) {
+    m_violations.push_back(what);
+  }
 
-  // Undoes all and waits until every node serves the newest routes again.
-  void Heal();
+  // Runs the actions that undo the remaining faults, and waits until every node
+  // serves the newest routes again.
+  void WaitForRecovery();
   void EndFleet();
   void MakeCall(platform::ClientCall& call);
-  std::string Document() const;
-  std::string Figures(const SoakRecord& record);
+  std::string RoutesDocument() const;
+  std::string FormatStatistics(const SoakRecord& record);
 
   SoakOptions m_options;
   std::unique_ptr<platform::NodeFleet> m_fleet;
-  // Of the traffic; the schedule has its own.
+  // The random source of the traffic; the schedule has its own.
   SeededRandomSource m_random;
-  std::priority_queue<DueAction, std::vector<DueAction>, std::greater<>> m_due;
-  std::uint64_t m_last_action = 0;
+  std::priority_queue<ScheduledAction,
+                      std::vector<ScheduledAction>,
+                      std::greater<>>
+      m_scheduled;
+  std::uint64_t m_last_sequence_number = 0;
   SoakRecord m_record;
-  std::vector<std::string> m_broken;
-  std::size_t m_caused = 0;
+  std::vector<std::string> m_violations;
+  std::size_t m_injected_faults = 0;
 
   struct NodeState {
-    // Ended by the soak, and not started again yet.
+    // The soak has ended the process and has not restarted it yet.
     bool is_down = false;
     bool is_frozen = false;
     bool is_leaving = false;
-    // It did not run for a part of its time to leave.
-    bool was_frozen_leaving = false;
-    // Of its server: gone, or on its way.
-    bool is_server_away = false;
-    // Faults under way that hold a link or the store.
+    // The process was frozen for a part of its leave time.
+    bool was_frozen_while_leaving = false;
+    // The node's server is stopped or is draining.
+    bool is_server_leaving_or_down = false;
+    // The number of active faults of each link and of the table service.
     std::map<platform::Link, std::size_t> link_faults;
     std::size_t store_faults = 0;
   };
   std::vector<NodeState> m_nodes;
-  // Read on the loop of the fleet's clients too.
+  // The newest version of the routes; also read on the event loop of the
+  // fleet's clients.
   std::atomic<std::uint64_t> m_version = 1;
 };
 
--- a/source/soak/verdicts.cc
+++ b/source/soak/verdicts.cc
@@ -20,26 +20,27 @@
 
 void CheckCall(const FinishedCall& finished,
                std::size_t runs,
-               std::vector<std::string>& broken) {
+               std::vector<std::string>& violations) {
   const std::string& id = finished.call.request_id;
   const auto report = [&](const char* what) {
-    broken.push_back(fmt::format("{}: request {} path {} node {} runs {}", what,
-                                 id, finished.call.path, finished.node, runs));
+    violations.push_back(fmt::format("{}: request {} path {} node {} runs {}",
+                                     what, id, finished.call.path,
+                                     finished.node, runs));
   };
   switch (finished.outcome.verdict) {
     case ClientVerdict::kWrong:
-      report("an answer that is not the server's own");
+      report("the answer does not match the request");
       break;
     case ClientVerdict::kNoAnswer:
       report("no answer");
       break;
     case ClientVerdict::kRefused:
       if (runs > 0)
-        report("refused as not run, and has run");
+        report("the request was refused as not run but has run");
       break;
     case ClientVerdict::kServed:
       if (runs == 0)
-        report("served, and has not run");
+        report("the request was answered but has not run");
       break;
     case ClientVerdict::kUnknown:
     case ClientVerdict::kNoRoute:
@@ -47,21 +48,23 @@
       break;
   }
   if (finished.call.path.starts_with(kOncePrefix) && runs > 1)
-    report("a booking ran twice");
+    report("a request that must run at most once ran more often");
 }
 
-void CheckDrains(const SoakRecord& record, std::vector<std::string>& broken) {
+void CheckDrains(const SoakRecord& record,
+                 std::vector<std::string>& violations) {
   for (const AcknowledgedDrain& drain : record.drains) {
     for (const LedgerRun& run : record.runs) {
       if (run.instance == drain.instance &&
           run.started_at > drain.at + kDrainTime)
-        broken.push_back(fmt::format("a run after the drain: request {} at {}",
-                                     run.request_id, run.instance));
+        violations.push_back(
+            fmt::format("a run started after the drain time: request {} at {}",
+                        run.request_id, run.instance));
     }
   }
 }
 
-// Whether one process of the node has seen both moments.
+// Returns whether the same process of the node was running at both times.
 bool IsSameProcess(const SoakRecord& record,
                    std::size_t node,
                    TimePoint from,
@@ -73,10 +76,11 @@
              [&](TimePoint start) { return start >= from && start <= to; });
 }
 
-// A version that was in force at a node's process stays in force there, or a
-// later one does.
-void CheckVersions(const SoakRecord& record, std::vector<std::string>& broken) {
-  // By node: the first served call of each version, by when it ended.
+// Checks that a node process that has served a version of the routes does not
+// return to an older one.
+void CheckVersions(const SoakRecord& record,
+                   std::vector<std::string>& violations) {
+  // The end times of the served calls, by node and version.
   std::map<std::pair<std::size_t, std::uint64_t>, std::vector<TimePoint>> seen;
   for (const FinishedCall& finished : record.calls) {
     const std::uint64_t version = VersionOf(finished.call.path);
@@ -92,9 +96,9 @@
          seen[{finished.node, VersionOf(finished.call.path)}]) {
       if (served < finished.began_at &&
           IsSameProcess(record, finished.node, served, ended)) {
-        broken.push_back(fmt::format("routes went back: request {} path {}",
-                                     finished.call.request_id,
-                                     finished.call.path));
+        violations.push_back(fmt::format(
+            "the routes returned to an older version: request {} path {}",
+            finished.call.request_id, finished.call.path));
         break;
       }
     }
@@ -116,18 +120,18 @@
   return version;
 }
 
-std::vector<std::string> FindBroken(const SoakRecord& record) {
+std::vector<std::string> FindViolations(const SoakRecord& record) {
   std::map<std::string, std::size_t> runs;
   for (const LedgerRun& run : record.runs)
     ++runs[run.request_id];
-  std::vector<std::string> broken;
+  std::vector<std::string> violations;
   for (const FinishedCall& finished : record.calls) {
     const auto found = runs.find(finished.call.request_id);
-    CheckCall(finished, found == runs.end() ? 0 : found->second, broken);
+    CheckCall(finished, found == runs.end() ? 0 : found->second, violations);
   }
-  CheckDrains(record, broken);
-  CheckVersions(record, broken);
-  return broken;
+  CheckDrains(record, violations);
+  CheckVersions(record, violations);
+  return violations;
 }
 
 }  // namespace bulrushmount::soak
--- a/source/soak/verdicts.h
+++ b/source/soak/verdicts.h
@@ -1,5 +1,5 @@
-// What a soak's ledgers say: of the clients, what they were told; of the
-// servers, what they ran. Nothing here asks a node.
+// Checks the ledgers of a soak run: the outcomes that clients got are compared
+// with the runs that servers recorded. The checks use no data from nodes.
 
 #ifndef BULRUSHMOUNT_SOAK_VERDICTS_H_
 #define BULRUSHMOUNT_SOAK_VERDICTS_H_
@@ -15,33 +15,37 @@
 
 namespace bulrushmount::soak {
 
-// Paths under this prefix may run once at most; see VersionPrefix for others.
+// A request with a path under kOncePrefix may run at most once; one under
+// kSafePrefix may run several times.
 inline constexpr char kOncePrefix[] = "/once/";
 inline constexpr char kSafePrefix[] = "/safe/";
-// The route that each version of the routes adds, and later ones keep.
+// Returns the path prefix of the route that this version of the routes adds and
+// later versions keep.
 std::string VersionPrefix(std::uint64_t version);
-// Of a path under such a prefix; 0 for others.
+// Returns the version of a path under such a prefix, or 0 for other paths.
 std::uint64_t VersionOf(const std::string& path);
 
-// A server that was told that it may leave.
+// A server whose drain a node has acknowledged.
 struct AcknowledgedDrain {
   std::string instance;
   TimePoint at;
 };
 
-// All that a run has on record.
+// Everything that is recorded in a run.
 struct SoakRecord {
   std::vector<platform::FinishedCall> calls;
   platform::RunLedger runs;
   std::vector<AcknowledgedDrain> drains;
-  // When each node's process was started, by node.
+  // The start times of the processes of each node, by node index.
   std::map<std::size_t, std::vector<TimePoint>> node_starts;
 };
 
-// One line for each promise that was broken, with the request or server.
-std::vector<std::string> FindBroken(const SoakRecord& record);
+// Returns one line for each violated guarantee, with the request and, for a
+// drain, the server.
+std::vector<std::string> FindViolations(const SoakRecord& record);
 
-// How long a server serves on after it was told that it may leave.
+// The time for which a server continues to serve after its drain is
+// acknowledged.
 inline constexpr Duration kDrainTime = std::chrono::seconds(2);
 
 }  // namespace bulrushmount::soak
--- a/source/soak/verdicts_test.cc
+++ b/source/soak/verdicts_test.cc
@@ -1,4 +1,5 @@
-// Each promise of the soak is seen broken in a record made by hand.
+// Tests that the soak's checks detect the violation of each guarantee in
+// hand-written records.
 
 #include "soak/verdicts.h"
 
@@ -25,16 +26,16 @@
   return finished;
 }
 
-struct VerdictCase {
+struct LedgerCheckCase {
   const char* name;
   SoakRecord record;
-  std::size_t broken;
+  std::size_t violations;
 };
 
-class VerdictTest : public testing::TestWithParam<VerdictCase> {};
+class LedgerCheckTest : public testing::TestWithParam<LedgerCheckCase> {};
 
-TEST_P(VerdictTest, SaysWhatIsBroken) {
-  EXPECT_EQ(FindBroken(GetParam().record).size(), GetParam().broken);
+TEST_P(LedgerCheckTest, FindsEveryViolation) {
+  EXPECT_EQ(FindViolations(GetParam().record).size(), GetParam().violations);
 }
 
 SoakRecord WithRuns(std::vector<FinishedCall> calls,
@@ -64,39 +65,42 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Records,
-    VerdictTest,
+    LedgerCheckTest,
     testing::Values(
-        VerdictCase{
+        LedgerCheckCase{
             "Served",
             WithRuns({CallOf("a", "/once/", ClientVerdict::kServed)}, {"a"}),
             0},
-        VerdictCase{"SafeTwice",
-                    WithRuns({CallOf("a", "/safe/", ClientVerdict::kServed)},
-                             {"a", "a"}),
-                    0},
-        VerdictCase{"BookingTwice",
-                    WithRuns({CallOf("a", "/once/", ClientVerdict::kUnknown)},
-                             {"a", "a"}),
-                    1},
-        VerdictCase{
+        LedgerCheckCase{
+            "SafeTwice",
+            WithRuns({CallOf("a", "/safe/", ClientVerdict::kServed)},
+                     {"a", "a"}),
+            0},
+        LedgerCheckCase{
+            "BookingTwice",
+            WithRuns({CallOf("a", "/once/", ClientVerdict::kUnknown)},
+                     {"a", "a"}),
+            1},
+        LedgerCheckCase{
             "RefusedAndRun",
             WithRuns({CallOf("a", "/safe/", ClientVerdict::kRefused)}, {"a"}),
             1},
-        VerdictCase{
+        LedgerCheckCase{
             "ServedAndNotRun",
             WithRuns({CallOf("a", "/safe/", ClientVerdict::kServed)}, {}), 1},
-        VerdictCase{
+        LedgerCheckCase{
             "Nothing",
             WithRuns({CallOf("a", "/safe/", ClientVerdict::kNoAnswer)}, {}), 1},
-        VerdictCase{
+        LedgerCheckCase{
             "Wrong",
             WithRuns({CallOf("a", "/safe/", ClientVerdict::kWrong)}, {"a"}), 1},
-        VerdictCase{"RunWhileDraining", LateRun(kDrainTime / 2), 0},
-        VerdictCase{"RunAfterDrain", LateRun(2 * kDrainTime), 1},
-        VerdictCase{"RoutesBack", Versions({kStart - std::chrono::hours(1)}),
-                    1},
-        VerdictCase{"NewProcess",
-                    Versions({kStart + std::chrono::milliseconds(500)}), 0}),
+        LedgerCheckCase{"RunWhileDraining", LateRun(kDrainTime / 2), 0},
+        LedgerCheckCase{"RunAfterDrain", LateRun(2 * kDrainTime), 1},
+        LedgerCheckCase{"RoutesBack",
+                        Versions({kStart - std::chrono::hours(1)}), 1},
+        LedgerCheckCase{"NewProcess",
+                        Versions({kStart + std::chrono::milliseconds(500)}),
+                        0}),
     [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
