--- a/source/soak/verdicts.h
+++ b/source/soak/ledger_checks.h
@@ -1,8 +1,8 @@
 // Checks the ledgers of a soak run: the outcomes that clients got are compared
 // with the runs that servers recorded. The checks use no data from nodes.
 
-#ifndef BULRUSHMOUNT_SOAK_VERDICTS_H_
-#define BULRUSHMOUNT_SOAK_VERDICTS_H_
+#ifndef BULRUSHMOUNT_SOAK_LEDGER_CHECKS_H_
+#define BULRUSHMOUNT_SOAK_LEDGER_CHECKS_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -50,4 +50,4 @@
 
 }  // namespace bulrushmount::soak
 
-#endif  // BULRUSHMOUNT_SOAK_VERDICTS_H_
+#endif  // BULRUSHMOUNT_SOAK_LEDGER_CHECKS_H_
--- a/source/soak/soak_run.h
+++ b/source/soak/soak_run.h
@@ -18,7 +18,7 @@
 #include "core/common/random.h"
 #include "platform/stand_ins/node_fleet.h"
 #include "soak/fault_schedule.h"
-#include "soak/verdicts.h"
+#include "soak/ledger_checks.h"
 
 namespace bulrushmount::soak {
 
--- a/source/soak/verdicts.cc
+++ b/source/soak/verdicts.cc
@@ -1,6 +1,6 @@
 // Part of `verdicts.h`.
 
-#include "soak/verdicts.h"
+#include "soak/ledger_checks.h"
 
 #include <algorithm>
 #include <charconv>
--- a/source/soak/verdicts_test.cc
+++ b/source/soak/verdicts_test.cc
@@ -1,7 +1,7 @@
 // Tests that the soak's checks detect the violation of each guarantee in
 // hand-written records.
 
-#include "soak/verdicts.h"
+#include "soak/ledger_checks.h"
 
 #include <gtest/gtest.h>
 
