--- a/source/soak/ledger_checks.cc
+++ b/source/soak/ledger_checks.cc
@@ -1,4 +1,4 @@
-// Part of `verdicts.h`.
+// Part of `ledger_checks.h`.
 
 #include "soak/ledger_checks.h"
 
