--- a/source/core/membership/anti_entropy.cc
+++ b/source/core/membership/anti_entropy.cc
@@ -53,7 +53,7 @@
   digest.set_is_joining(m_is_catching_up);
   digest.set_is_answer(is_answer);
   *writer.message().mutable_digest() = std::move(digest);
-  // A new writer accounts for the size of the digest.
+  // The first writer did not count the size of the digest; a new one does.
   detail::GossipWriter sized(std::move(writer.message()));
   sized.Add(self());
   const Member* receiver = m_table.Find(to_id);
--- a/source/core/membership/byte_budget.h
+++ b/source/core/membership/byte_budget.h
@@ -38,7 +38,7 @@
   bool HasReserve() const { return m_tokens > m_rate * kReserveSeconds; }
 
  private:
-  // A reserve is what accumulates over this time.
+  // More than accumulates over this time counts as a reserve.
   static constexpr double kReserveSeconds = 1.6;
 
   double m_rate;
--- a/source/core/membership/failure_detection.cc
+++ b/source/core/membership/failure_detection.cc
@@ -26,28 +26,28 @@
   }
   ExpireOldEntries(now);
   SpreadDeparture(now);
-  const Member* target = m_schedule.Next(m_table, m_random);
-  if (target == nullptr) {
+  const Member* subject = m_schedule.Next(m_table, m_random);
+  if (subject == nullptr) {
     return;
   }
   const std::uint32_t sequence = m_next_sequence++;
   Probe probe;
-  probe.target = target->id;
+  probe.subject = subject->id;
   probe.ping_requests_at = now + m_health.Stretch(m_settings.direct_timeout);
   probe.give_up_at =
       probe.ping_requests_at + m_health.Stretch(m_settings.indirect_timeout);
   m_probes.emplace(sequence, probe);
-  Ping(now, *target, sequence);
+  Ping(now, *subject, sequence);
 }
 
 void Membership::Ping(TimePoint now,
-                      const Member& target,
+                      const Member& subject,
                       std::uint32_t sequence) {
   detail::GossipWriter writer = NewMessage(gossip::Gossip::PING, sequence);
   // A replacement node at the same address must not answer a ping for its
   // predecessor.
-  writer.message().set_subject(target.id.value());
-  SendWithNews(now, target.gossip_endpoint, target.id, writer);
+  writer.message().set_subject(subject.id.value());
+  SendWithNews(now, subject.gossip_endpoint, subject.id, writer);
 }
 
 void Membership::CheckProbes(TimePoint now) {
@@ -73,40 +73,40 @@
                             std::uint32_t sequence,
                             Probe& probe) {
   probe.next_retry = now + m_health.Stretch(m_settings.direct_retry_interval);
-  const Member* target = m_table.Find(probe.target);
-  if (target != nullptr && IsLive(target->state)) {
-    Ping(now, *target, sequence);
+  const Member* subject = m_table.Find(probe.subject);
+  if (subject != nullptr && IsLive(subject->state)) {
+    Ping(now, *subject, sequence);
   }
 }
 
 void Membership::SendPingRequests(std::uint32_t sequence, Probe& probe) {
   probe.has_sent_ping_requests = true;
-  const Member* target = m_table.Find(probe.target);
-  if (target == nullptr || !IsLive(target->state)) {
+  const Member* subject = m_table.Find(probe.subject);
+  if (subject == nullptr || !IsLive(subject->state)) {
     return;
   }
-  for (const Member* helper : PickHelpers(*target)) {
+  for (const Member* helper : PickHelpers(*subject)) {
     detail::GossipWriter writer =
         NewMessage(gossip::Gossip::PING_REQUEST, sequence);
-    writer.message().set_subject(target->id.value());
+    writer.message().set_subject(subject->id.value());
     Send(helper->gossip_endpoint, writer);
     ++probe.helpers;
   }
 }
 
-MemberTable::Pointers Membership::PickHelpers(const Member& target) {
+MemberTable::Pointers Membership::PickHelpers(const Member& subject) {
   using Predicate = std::function<bool(const Member&)>;
-  // Helpers close to the target, as the path from here to it may be cut; and
-  // one close to this node, so that a helper remains reachable when the
-  // target's whole region is cut off.
-  const Predicate in_target_zone = [&](const Member& member) {
-    return member.zone == target.zone;
+  // Picks helpers close to the subject, as the path from here to it may be cut,
+  // and one close to this node, so that a helper remains reachable when the
+  // subject's whole region is cut off.
+  const Predicate in_subject_zone = [&](const Member& member) {
+    return member.zone == subject.zone;
   };
   const Predicate in_own_region = [&](const Member& member) {
     return member.region == self().region;
   };
-  const Predicate in_target_region = [&](const Member& member) {
-    return member.region == target.region;
+  const Predicate in_subject_region = [&](const Member& member) {
+    return member.region == subject.region;
   };
   const Predicate anyone = [](const Member&) { return true; };
   MemberTable::Pointers helpers;
@@ -114,7 +114,7 @@
     MemberTable::Pointers candidates;
     for (const Member* member : m_table.Live()) {
       const bool is_free =
-          !IsSelf(member->id) && member->id != target.id &&
+          !IsSelf(member->id) && member->id != subject.id &&
           member->state == MemberState::kAlive &&
           std::find(helpers.begin(), helpers.end(), member) == helpers.end();
       if (is_free && matches(*member)) {
@@ -127,7 +127,7 @@
     helpers.push_back(candidates[m_random.Index(candidates.size())]);
   };
   for (const Predicate& matches :
-       {in_own_region, in_target_zone, in_target_region}) {
+       {in_own_region, in_subject_zone, in_subject_region}) {
     pick(matches);
   }
   for (std::size_t i = 0; i < m_settings.indirect_helpers; ++i) {
@@ -141,17 +141,17 @@
     // No helper responded either, so the fault is more likely at this node.
     m_health.Worsen();
   }
-  const Member* target = m_table.Find(probe.target);
-  if (target == nullptr || !IsLive(target->state)) {
+  const Member* subject = m_table.Find(probe.subject);
+  if (subject == nullptr || !IsLive(subject->state)) {
     return;
   }
-  if (m_table.ApplyState(now, target->id, target->incarnation,
+  if (m_table.ApplyState(now, subject->id, subject->incarnation,
                          MemberState::kSuspect)) {
     ++m_counters.suspicions;
-    m_news.Push(target->id);
-    OnStateChanged(now, target->id, true);
+    m_news.Push(subject->id);
+    OnStateChanged(now, subject->id, true);
   }
-  Suspicion& suspicion = m_suspicions[target->id];
+  Suspicion& suspicion = m_suspicions[subject->id];
   suspicion.due = std::min(suspicion.due,
                            now + m_health.Stretch(m_settings.suspicion_time));
   if (!suspicion.is_initiator) {
@@ -169,7 +169,7 @@
     }
     detail::GossipWriter writer =
         NewMessage(gossip::Gossip::NACK, relay.origin_sequence);
-    writer.message().set_subject(relay.target.value());
+    writer.message().set_subject(relay.subject.value());
     Send(relay.origin, writer);
     it = m_relays.erase(it);
   }
@@ -185,7 +185,7 @@
     if (now >= suspicion.due) {
       // Neither the initiator's death report nor a refutation has arrived,
       // perhaps because it was lost. A member is not declared dead on the
-      // report of others alone, so this node starts pinging it.
+      // reports of others alone, so this node starts pinging it.
       suspicion.is_initiator = true;
       suspicion.due = now + m_health.Stretch(m_settings.suspicion_time);
       suspicion.next_ping = now;
@@ -244,8 +244,8 @@
 void Membership::OnPingRequest(TimePoint now,
                                const Endpoint& from,
                                const gossip::Gossip& in) {
-  const Member* target = m_table.Find(NodeId(in.subject()));
-  if (target == nullptr || IsSelf(target->id)) {
+  const Member* subject = m_table.Find(NodeId(in.subject()));
+  if (subject == nullptr || IsSelf(subject->id)) {
     return;
   }
   const std::uint32_t sequence = m_next_sequence++;
@@ -253,11 +253,11 @@
   relay.origin = from;
   relay.origin_id = NodeId(in.sender());
   relay.origin_sequence = in.sequence();
-  relay.target = target->id;
+  relay.subject = subject->id;
   relay.give_up_at = now + FromSeconds(kRelayTimeShare *
                                        ToSeconds(m_settings.indirect_timeout));
   m_relays.emplace(sequence, relay);
-  Ping(now, *target, sequence);
+  Ping(now, *subject, sequence);
 }
 
 void Membership::OnAck(TimePoint now,
@@ -271,13 +271,13 @@
     Send(from, writer);
   }
   const auto probe = m_probes.find(in.sequence());
-  if (probe != m_probes.end() && probe->second.target == subject) {
+  if (probe != m_probes.end() && probe->second.subject == subject) {
     m_probes.erase(probe);
     m_health.Improve();
     return;
   }
   const auto relay = m_relays.find(in.sequence());
-  if (relay == m_relays.end() || relay->second.target != subject) {
+  if (relay == m_relays.end() || relay->second.subject != subject) {
     return;
   }
   detail::GossipWriter writer =
@@ -289,7 +289,8 @@
 
 void Membership::OnNack(const gossip::Gossip& in) {
   const auto probe = m_probes.find(in.sequence());
-  if (probe != m_probes.end() && probe->second.target == NodeId(in.subject())) {
+  if (probe != m_probes.end() &&
+      probe->second.subject == NodeId(in.subject())) {
     ++probe->second.nacks;
   }
 }
--- a/source/core/membership/heartbeat_schedule.h
+++ b/source/core/membership/heartbeat_schedule.h
@@ -21,8 +21,8 @@
   // member.
   const Member* Next(const MemberTable& table, RandomSource& random);
 
-  // Inserts a new member into the current round. Otherwise nobody would monitor
-  // it until rounds end, which takes minutes in a large fleet.
+  // Inserts a new member into the current round. Otherwise no node would
+  // monitor it until the rounds end, which takes minutes in a large fleet.
   void Add(const Member& member, RandomSource& random);
 
  private:
--- a/source/core/membership/member_directory.cc
+++ b/source/core/membership/member_directory.cc
@@ -19,7 +19,8 @@
 constexpr std::string_view kPrefix = "member/";
 constexpr int kHexBase = 16;
 
-// Number of addresses handed out per attempt. One responding address is enough.
+// Number of addresses handed out per attempt. More would be useless load, as
+// one responding address is enough.
 constexpr std::size_t kMaxAddressesPerAttempt = 8;
 // A new node chooses at random among this many of the newest rows, so that new
 // nodes do not all contact the same member.
@@ -227,8 +228,8 @@
     }
   }
 
-  // Orders the newest rows first, as their nodes are most likely to be
-  // reachable, and shuffles them among each other.
+  // Sorts the rows newest first, as their nodes are most likely to be
+  // reachable, and shuffles the first kNewestRows.
   void OrderFound() {
     handed_out = 0;
     std::sort(found.begin(), found.end(),
--- a/source/core/membership/member_directory.h
+++ b/source/core/membership/member_directory.h
@@ -6,7 +6,7 @@
 // The design limits the load of hundreds of nodes that start at once and know
 // no member. One scan suffices for each to find a member. If every node kept a
 // row as well, the load on the table would grow with the fleet for rows that
-// nobody reads.
+// are never read.
 
 #ifndef BULRUSHMOUNT_CORE_MEMBERSHIP_MEMBER_DIRECTORY_H_
 #define BULRUSHMOUNT_CORE_MEMBERSHIP_MEMBER_DIRECTORY_H_
--- a/source/core/membership/membership.cc
+++ b/source/core/membership/membership.cc
@@ -249,7 +249,7 @@
   if (late >= m_settings.pause_threshold) {
     // A process that was paused (stopped, swapped out, host frozen) resumes
     // with every probe overdue. Without this check it would suspect all members
-    // that it had pinged, although it was itself that did not receive their
+    // that it had pinged, although only the pause kept it from receiving their
     // acks.
     LogLine(LogLevel::kWarning, "membership.paused")
         .Add("seconds", ToSeconds(late));
--- a/source/core/membership/membership.h
+++ b/source/core/membership/membership.h
@@ -99,7 +99,7 @@
  private:
   // A heartbeat that waits for its ack.
   struct Probe {
-    NodeId target;
+    NodeId subject;
     TimePoint ping_requests_at;
     TimePoint give_up_at;
     bool has_sent_ping_requests = false;
@@ -114,14 +114,14 @@
     Endpoint origin;
     NodeId origin_id;
     std::uint32_t origin_sequence = 0;
-    NodeId target;
+    NodeId subject;
     TimePoint give_up_at;
   };
 
   struct Suspicion {
     Incarnation incarnation;
-    // When an initiator declares the member dead, and when a node that is no
-    // initiator becomes one.
+    // When an initiator declares the member dead, or another node becomes an
+    // initiator.
     TimePoint due;
     // This node pings the member itself until `due`.
     bool is_initiator = false;
@@ -143,11 +143,11 @@
 
   // failure_detection.cc
   void Heartbeat(TimePoint now);
-  void Ping(TimePoint now, const Member& target, std::uint32_t sequence);
+  void Ping(TimePoint now, const Member& subject, std::uint32_t sequence);
   void CheckProbes(TimePoint now);
   void RetryProbe(TimePoint now, std::uint32_t sequence, Probe& probe);
   void SendPingRequests(std::uint32_t sequence, Probe& probe);
-  MemberTable::Pointers PickHelpers(const Member& target);
+  MemberTable::Pointers PickHelpers(const Member& subject);
   void StartSuspicion(TimePoint now, const Probe& probe);
   void CheckRelays(TimePoint now);
   void CheckSuspicions(TimePoint now);
@@ -212,7 +212,7 @@
   std::map<std::uint32_t, Relay> m_relays;
   std::map<NodeId, Suspicion> m_suspicions;
   std::vector<Endpoint> m_seeds;
-  // The table is not yet in sync with another member's; digests then ask for
+  // True until a table comparison has completed; until then digests request
   // larger replies.
   bool m_is_catching_up = true;
   // Number of sync reply datagrams that may still be sent; refilled at each
--- a/source/core/membership/membership_settings.h
+++ b/source/core/membership/membership_settings.h
@@ -48,8 +48,8 @@
   Duration left_tombstone_age = std::chrono::minutes(10);
   Duration dead_tombstone_age = std::chrono::hours(1);
   // A timer that is late by this much means that the process was paused: its
-  // knowledge of others is outdated, and missing acks in that time say nothing
-  // about them.
+  // view of other members is outdated, and acks missing in that time are no
+  // evidence against them.
   Duration pause_threshold = std::chrono::seconds(1);
 };
 
--- a/source/unit_tests/core/membership/member_directory_test.cc
+++ b/source/unit_tests/core/membership/member_directory_test.cc
@@ -112,8 +112,8 @@
   EXPECT_FALSE(HasRow(1));
 }
 
-// Guards against rows of crashed nodes that nobody deletes: they accumulate,
-// and new nodes try their addresses in vain.
+// Guards against rows of crashed nodes that are never deleted: they accumulate,
+// and new nodes waste attempts on their addresses.
 TEST_F(MemberDirectoryTest, PrunesRowsOfDeadNodesAndKeepsThoseOfLiveOnes) {
   {
     Node dead(2, m_random, m_service, m_now);
@@ -196,8 +196,9 @@
     EXPECT_GT(endpoint.port, AddressOf(236).port);
 }
 
-// Guards against a node that waits out its back-off of ten seconds and more
-// although another part of it has already got a response from the table.
+// Guards against a node that waits for the end of its back-off, which can
+// exceed ten seconds, although another part of it has already got a response
+// from the table.
 TEST_F(MemberDirectoryTest, ScansAtOnceWhenTheTableIsAvailableAgain) {
   m_service.SetFault(TableFault::kDown);
   Node node(1, m_random, m_service, m_now);
--- a/source/unit_tests/core/membership/membership_property_test.cc
+++ b/source/unit_tests/core/membership/membership_property_test.cc
@@ -151,7 +151,8 @@
     return count;
   }
 
-  // No node's incarnation of a member decreases or exceeds the member's own.
+  // The incarnation that a node knows of a member neither decreases nor exceeds
+  // the member's own.
   void CheckIncarnations() {
     for (std::size_t i = 0; i < m_network.size(); ++i) {
       for (std::size_t j = 0; j < m_network.size(); ++j) {
--- a/source/unit_tests/core/membership/membership_test.cc
+++ b/source/unit_tests/core/membership/membership_test.cc
@@ -253,9 +253,9 @@
   AddNodes(m_network, 1);
   m_network.Run(seconds(20));
   for (std::size_t i = 1; i < m_network.size(); ++i) {
-    const auto heard = m_network.at(i).TakeBroadcasts();
-    ASSERT_EQ(heard.size(), 1U) << i;
-    EXPECT_EQ(heard[0].payload, "suspect");
+    const auto received = m_network.at(i).TakeBroadcasts();
+    ASSERT_EQ(received.size(), 1U) << i;
+    EXPECT_EQ(received[0].payload, "suspect");
   }
 }
 
