--- a/source/core/membership/anti_entropy.cc
+++ b/source/core/membership/anti_entropy.cc
@@ -14,7 +14,7 @@
 
 // Number of datagrams of one reply, each smaller than 1,200 bytes.
 constexpr std::size_t kReplyDatagrams = 2;
-constexpr std::size_t kReplyDatagramsToNewcomer = 8;
+constexpr std::size_t kReplyDatagramsToNewMember = 8;
 
 constexpr std::size_t kSeedsAtOnce = 3;
 constexpr Duration kMaxSeedBackoff = std::chrono::seconds(8);
@@ -84,7 +84,7 @@
     return;
   }
   const std::size_t most =
-      std::min(m_sync_credit, theirs.is_joining() ? kReplyDatagramsToNewcomer
+      std::min(m_sync_credit, theirs.is_joining() ? kReplyDatagramsToNewMember
                                                   : kReplyDatagrams);
   if (most == 0 || !m_budget.HasAny()) {
     return;
