--- a/source/unit_tests/core/membership/membership_test.cc
+++ b/source/unit_tests/core/membership/membership_test.cc
@@ -75,7 +75,7 @@
             8U);
 }
 
-TEST_F(MembershipTest, LoneNodeRuns) {
+TEST_F(MembershipTest, IsolatedNodeRuns) {
   AddNodes(m_network, 1);
   m_network.Run(minutes(1));
   EXPECT_EQ(m_network.at(0).phase(), MemberPhase::kJoining);
