--- a/source/unit_tests/core/membership/membership_test.cc
+++ b/source/unit_tests/core/membership/membership_test.cc
@@ -104,7 +104,7 @@
 // Guards against a node that declares half the fleet dead after a short stall.
 // It gets SIGSTOP with heartbeats outstanding and SIGCONT after every deadline;
 // the overdue deadlines must not count as missing acks.
-TEST_F(MembershipTest, FrozenNodeSuspectsNobodyAndRejoins) {
+TEST_F(MembershipTest, FrozenNodeSuspectsNoMemberAndRejoins) {
   Start(20);
   const Incarnation before = m_network.at(5).self().incarnation;
   m_network.Freeze(5);
