--- a/source/core/contracts/config_sync.cc
+++ b/source/core/contracts/config_sync.cc
@@ -411,9 +411,9 @@
   if (!result.is_ok) {
     if (!was_fetch)
       return;
-    // Peers have delivered the configuration before the table responded. A
-    // watcher still reads again, but after a delay, so that a table that
-    // rejects requests is not flooded.
+    // The fetch is complete if peers have delivered the configuration in the
+    // meantime. A watcher still reads the table again, but after a delay, so
+    // that a table that rejects requests is not flooded.
     const bool is_current =
         m_store.is_known() && m_store.revision().value() >= m_target.value();
     if (is_current && !m_is_on_duty)
--- a/source/core/contracts/config_sync.h
+++ b/source/core/contracts/config_sync.h
@@ -31,7 +31,7 @@
   Duration startup_window = std::chrono::seconds(2);
   // If the table can be watched, a few nodes watch it and the others learn of
   // changes from peers. The others still read the table at this rate, together,
-  // in case all watchers have lost the table and nobody notices.
+  // in case all watchers have lost the table without being detected.
   double fleet_checks_per_second = 1.0;
   // Delay from the start until the first check is scheduled; by then the
   // members are known.
@@ -42,7 +42,8 @@
   // The same if peers are likely: one of hundreds of nodes reads at once, and
   // nearly all others receive its configuration before their turn comes.
   Duration read_window_with_peers = std::chrono::milliseconds(1500);
-  // Delay of the first table read while the member directory has not been read.
+  // Delay of the first table read if the member directory has not been read by
+  // then.
   Duration initial_table_delay = std::chrono::seconds(2);
   // After this time a request to a peer counts as lost.
   Duration peer_timeout = std::chrono::milliseconds(250);
@@ -53,7 +54,7 @@
   std::uint32_t peer_attempts = 3;
   // Once per period a node sends its revision in force to one random peer.
   Duration pulse_period = std::chrono::seconds(2);
-  // After a watch failed, the table is read again within this window.
+  // After a failed watch, the table is read again within this window.
   Duration reread_window = std::chrono::milliseconds(200);
   // Pulse period for a while after an evacuation began or ended: peers that
   // missed the first messages must not start work in an evacuated zone for
@@ -87,8 +88,9 @@
   // other nodes.
   void SetWatchDuty(TimePoint now, bool is_on_duty);
 
-  // Reports whether peers are likely to exist, shortly after the start; until
-  // then a new node does not read the table.
+  // Reports whether peers are likely to exist; called shortly after the start.
+  // Until then a new node waits up to initial_table_delay before it reads the
+  // table.
   void OnPeersExpected(TimePoint now, bool are_likely);
 
   // The last response of the table was valid, or none has arrived yet.
--- a/source/core/contracts/watch_duty.h
+++ b/source/core/contracts/watch_duty.h
@@ -37,8 +37,8 @@
   Duration settling_time = std::chrono::seconds(2);
   double membership_growth_factor = 1.25;
   // A node that has received nothing from any other node for this long watches
-  // the table itself, as nobody would notify it of a change. A member is
-  // normally heard from every half second.
+  // the table itself, as no other node could notify it of a change. Normally a
+  // datagram arrives every half second.
   Duration max_peer_silence = std::chrono::milliseconds(1500);
 };
 
@@ -69,7 +69,7 @@
 
   const WatchDutySettings m_settings;
   const NodeId m_self;
-  // The time of the start until another node was heard from.
+  // Initially the time of the start.
   TimePoint m_last_contact;
   // Set while selected, together with the number of members known then.
   std::optional<TimePoint> m_selected_since;
--- a/source/unit_tests/core/contracts/config_fleet.cc
+++ b/source/unit_tests/core/contracts/config_fleet.cc
@@ -28,7 +28,8 @@
 }
 
 void HistoryTable::Answer(TableStatus status, Callback callback) {
-  // A read whose result is ignored; it keeps the order of the responses.
+  // The result of this read is ignored: it only keeps the responses in the
+  // order of submission.
   m_fake.Submit(TableGet{"none"}, [status, callback = std::move(callback)](
                                       TimePoint now, const TableReply&) {
     callback(now, {status, {}});
--- a/source/unit_tests/core/contracts/contract_writer_test.cc
+++ b/source/unit_tests/core/contracts/contract_writer_test.cc
@@ -147,7 +147,8 @@
 
 // Guards against answering 503 "nothing was written" although the contract is
 // in force. The response to the commit is lost, then the store goes down; the
-// refused connection of the second attempt says nothing about the first.
+// refused connection of the second attempt does not show the outcome of the
+// first.
 TEST_F(ContractWriterTest, ReportsUnknownWhenTheStoreGoesDownAfterALostAnswer) {
   table.FailNext(TableFault::kNone, 2);
   table.FailNext(TableFault::kAnswerLost);
