--- a/source/core/store/http_object_store.cc
+++ b/source/core/store/http_object_store.cc
@@ -20,8 +20,8 @@
   return request;
 }
 
-// As for the table, a 503 means "without effect" only if the store itself says
-// so in the body.
+// As for the table, a 503 means "without effect" only if the body is the
+// store's own reply that nothing was done.
 bool ReportsUnavailable(const HttpReply& reply) {
   return boost::leaf::try_handle_all(
       [&]() -> boost::leaf::result<bool> {
