--- a/source/core/common/datagram.h
+++ b/source/core/common/datagram.h
@@ -22,8 +22,8 @@
   kConfig = 4,
 };
 
-// With the byte of the kind, a datagram is 1,200 bytes and so fits any network
-// path without fragmentation.
+// With the byte of the kind, a datagram is at most 1,200 bytes and so fits any
+// network path without fragmentation.
 inline constexpr std::size_t kMaxDatagramPayload = 1199;
 
 // Datagrams may be lost, duplicated or reordered; every module must handle all
--- a/source/core/common/log_buffer.h
+++ b/source/core/common/log_buffer.h
@@ -42,8 +42,8 @@
   std::uint64_t m_dropped = 0;
   std::int64_t m_reported_at = 0;
   std::uint64_t m_dropped_total = 0;
-  // Bytes that may be written at m_credit_at, in nanoseconds of the steady
-  // clock.
+  // Bytes that may be written as of m_credit_at, a time of the steady clock in
+  // nanoseconds.
   double m_credit = 0;
   std::int64_t m_credit_at = 0;
 };
--- a/source/core/common/outcome.h
+++ b/source/core/common/outcome.h
@@ -1,5 +1,5 @@
-// The three outcomes of a call, and the reasons for a call without a target's
-// response. Both are sent between nodes and to the caller.
+// The three outcomes of a call, and the reasons why a call got no response from
+// a target. Both are sent between nodes and to the caller.
 
 #ifndef BULRUSHMOUNT_CORE_COMMON_OUTCOME_H_
 #define BULRUSHMOUNT_CORE_COMMON_OUTCOME_H_
@@ -60,8 +60,8 @@
   kCallerDisconnected = 27,
   kShutdownForced = 28,
   // State of the system: the request was running when a target failed, and may
-  // only run alone until its part in that is known. It is not quarantined, so a
-  // retry is worthwhile.
+  // only run alone until it is known whether it caused the failure. It is not
+  // quarantined, so a retry is worthwhile.
   kSuspect = 29,
   // Faults of the request.
   kNoRoute = 30,
--- a/source/unit_tests/core/common/log_buffer_test.cc
+++ b/source/unit_tests/core/common/log_buffer_test.cc
@@ -51,7 +51,7 @@
 }
 
 // Guards against a healthy node that stops responding because it blocks on a
-// log line: whoever reads its standard output stops, and the pipe fills up. A
+// log line: the reader of its standard output stops, and the pipe fills up. A
 // blocking write would hang this test.
 TEST_F(LogBufferTest, StoppedReaderLosesLinesWithoutBlocking) {
   LogBuffer buffer(m_pipe[1]);
