--- a/source/core/settings/yaml_parser.cc
+++ b/source/core/settings/yaml_parser.cc
@@ -23,7 +23,7 @@
 }
 
 // Builds the tree. An event that exceeds the bound on depth or node count
-// throws and so ends the parse.
+// throws an exception, which ends the parse.
 class TreeBuilder : public YAML::EventHandler {
  public:
   explicit TreeBuilder(YamlFaults& faults) : m_faults(faults) {}
--- a/source/core/settings/yaml_reader.cc
+++ b/source/core/settings/yaml_reader.cc
@@ -20,7 +20,7 @@
   Duration length;
 };
 
-// A suffix that ends in another one comes before it.
+// Matched in this order: a suffix that ends in another one must come before it.
 constexpr std::array<DurationUnit, 6> kDurationUnits{{
     {"ns", std::chrono::nanoseconds(1)},
     {"us", std::chrono::microseconds(1)},
