--- a/source/core/limits/entry_account.h
+++ b/source/core/limits/entry_account.h
@@ -105,7 +105,7 @@
   // Accumulates the units of the lent rate.
   TokenBucket m_rate_bucket;
   double m_rate = 0;
-  // Minimum time between two requests that the home asks for.
+  // Minimum time between two requests, as set by the home.
   Duration m_home_interval{};
   RequestPace m_pace = RequestPace::kNormal;
   Duration m_term{};
--- a/source/core/limits/limits_settings.h
+++ b/source/core/limits/limits_settings.h
@@ -37,7 +37,7 @@
   double home_requests_per_second = 50;
   // The same while the home ramps up lending for a workspace. The home can lend
   // the whole rate only after all entries have reported their demand, so it
-  // asks them more often at first.
+  // lets them send requests more often at first.
   double home_first_requests_per_second = 100;
   // Fraction of a workspace's rate that is not lent as rates in a small fleet.
   // It is lent as single units to the entry that runs short first. See
