--- a/source/core/quarantine/permit_home.cc
+++ b/source/core/quarantine/permit_home.cc
@@ -49,8 +49,8 @@
     holder.is_returned = true;
     return false;
   }
-  // An entry has one permit for a fingerprint at a time, so an ask for a later
-  // permit implies that the earlier one has ended.
+  // An entry has one permit for a fingerprint at a time, so a request for a
+  // later permit implies that the earlier one has ended.
   if (ask.permit == holder.permit && holder.is_returned)
     return false;
   return Grant(now, holder.entry, ask);
--- a/source/core/quarantine/permit_home.h
+++ b/source/core/quarantine/permit_home.h
@@ -18,10 +18,11 @@
 // Number of a permit; local to one entry and increasing there.
 using PermitNumber = StrongType<struct PermitNumberTag, std::uint64_t>;
 
-// Orders the asks of one entry over all its permits; the reply repeats it.
+// Orders the PermitAsk messages of one entry over all its permits; the reply
+// repeats it.
 using PermitAskNumber = StrongType<struct PermitAskNumberTag, std::uint64_t>;
 
-// An entry asks for, renews or returns a permit.
+// Message of an entry that requests, renews or returns a permit.
 struct PermitAsk {
   Fingerprint fingerprint;
   PermitNumber permit;
@@ -62,7 +63,8 @@
     PermitAskNumber last_ask;
     // The holder may be running the request until this time.
     TimePoint counted_until;
-    // A returned permit is kept, so that a delayed ask cannot take it again.
+    // A returned permit is kept, so that a delayed request cannot take it
+    // again.
     bool is_returned = false;
   };
 
--- a/source/core/quarantine/quarantine.cc
+++ b/source/core/quarantine/quarantine.cc
@@ -366,8 +366,8 @@
                        const Endpoint& from,
                        NodeId entry,
                        const PermitAsk& ask) {
-  // An entry with a different member list sends its ask to the wrong node. It
-  // gets no answer and refuses its call.
+  // An entry with a different member list sends its PermitAsk to the wrong
+  // node. It gets no answer and refuses its call.
   if (!IsHome(ask.fingerprint))
     return;
   const bool is_quarantined =
@@ -460,8 +460,8 @@
 
 // Counts a copy as suspect also if it was admitted with a permit, whatever its
 // verdict is here. An entry that has missed a clearance sends the cleared
-// request with a permit. If a poison request were admitted beside it and
-// crashed the target, that entry would quarantine both.
+// request with a permit. If a poison request ran concurrently and crashed the
+// target, that entry would quarantine both.
 bool Quarantine::HasRunningSuspect(TimePoint now) {
   return std::any_of(m_running.begin(), m_running.end(), [&](const auto& item) {
     return item.second.suspect > 0 ||
--- a/source/core/quarantine/quarantine.h
+++ b/source/core/quarantine/quarantine.h
@@ -29,8 +29,8 @@
 
 namespace bulrushmount {
 
-// A request that an owner, the node beside the target, has admitted to its
-// target.
+// A request that an owner, the node co-located with a target, has admitted to
+// that target.
 struct AdmittedWork {
   Fingerprint fingerprint;
   // Whether it was admitted as a suspect, with a permit.
@@ -113,7 +113,7 @@
   Reason AdmitWork(TimePoint now, Fingerprint fingerprint, bool is_suspect);
   void OnWorkEnded(const AdmittedWork& work);
 
-  // The target beside this node crashed. `works` are the requests that it was
+  // The target of this node crashed. `works` are the requests that it was
   // running; OnWorkEnded must not be called for them.
   void OnTargetCrashed(TimePoint now, const std::vector<AdmittedWork>& works);
 
@@ -131,8 +131,8 @@
   // effect.
   void OnBroadcast(TimePoint now, std::string_view payload);
   void OnTimer(TimePoint now);
-  // Returns a time at most a third of the pause threshold after the last call,
-  // so that the node detects that it was paused.
+  // Returns a time at most a third of the pause threshold after the node last
+  // ran, so that the node detects that it was paused.
   TimePoint NextWakeup() const;
 
   // Returns false while a node that was started or paused fetches the news that
@@ -151,15 +151,15 @@
     kReturning,
   };
 
-  // An ask and when it was sent. The term of a permit counts from this time: if
-  // it counted from the reply, a delayed reply would extend the term beyond the
-  // time until which the home counts the permit.
+  // A PermitAsk and when it was sent. The term of a permit counts from this
+  // time: if it counted from the reply, a delayed reply would extend the term
+  // beyond the time until which the home counts the permit.
   struct SentAsk {
     PermitAskNumber number;
     TimePoint sent_at;
   };
 
-  // A permit that this entry asks for, holds or returns.
+  // A permit that this entry requests, holds or returns.
   struct Permit {
     PermitNumber number;
     PermitStage stage = PermitStage::kAsking;
@@ -210,7 +210,8 @@
   Peer m_self;
   DatagramPort& m_datagrams;
   BroadcastPort& m_broadcasts;
-  // The last time that a method was called.
+  // The last call of NoticePause. A longer gap than the pause threshold means
+  // that this node was paused.
   TimePoint m_last_run_at;
   // Since this time another node can have acted as home in place of this one
   // only under a member list in m_past_members.
@@ -229,11 +230,11 @@
   SuspicionTable m_suspicions;
   PermitHome m_permit_home;
   // At most one for each fingerprint: a second request for it at this entry is
-  // refused while the first asks or runs.
+  // refused while the first waits for its permit or runs.
   std::unordered_map<Fingerprint, Permit> m_permits;
   std::uint64_t m_last_permit = 0;
   std::uint64_t m_last_ask = 0;
-  // Requests that run on the target beside this node. The counts of an item are
+  // Requests that run on the target of this node. The counts of an item are
   // never both zero.
   std::unordered_map<Fingerprint, RunningCopies> m_running;
 };
--- a/source/core/quarantine/quarantine_settings.h
+++ b/source/core/quarantine/quarantine_settings.h
@@ -19,18 +19,18 @@
   // A clearance is remembered for this long, so that delayed news of the
   // earlier suspicion cannot make the request suspect again.
   Duration clearance_time = std::chrono::minutes(2);
-  // Term of a permit, counted from when the ask or renewal was sent. Must
+  // Term of a permit, counted from when its request or renewal was sent. Must
   // exceed the time in which all nodes learn of a new member.
   Duration permit_term = std::chrono::seconds(6);
   // The home counts a permit as in use for this long beyond its term, to allow
   // for clock drift between nodes.
   Duration permit_clock_drift_margin = std::chrono::milliseconds(500);
   Duration permit_renewal = std::chrono::seconds(2);
-  // Time between two attempts of an ask.
+  // Time between two attempts to request or renew a permit.
   Duration permit_retry = std::chrono::milliseconds(100);
   // Time between two attempts to return a permit.
   Duration return_retry = std::chrono::seconds(1);
-  // A call that gets no answer to its ask for this long is refused.
+  // A call whose permit request gets no answer for this long is refused.
   Duration permit_timeout = std::chrono::milliseconds(300);
   // How long gossip carries news. Must be less than clearance_time, so that old
   // news of a suspicion does not outlive the record of its clearance.
--- a/source/unit_tests/core/quarantine/quarantine_fleet.h
+++ b/source/unit_tests/core/quarantine/quarantine_fleet.h
@@ -1,4 +1,4 @@
-// Several Quarantines, each beside a simulated target, connected by a
+// Several Quarantines, each with a simulated target, connected by a
 // DatagramNetwork and a lossy broadcast in virtual time. Calls take the same
 // steps as in node_logic: check, permit, owner, target. The fleet counts
 // violations of the quarantine rules.
--- a/source/unit_tests/core/quarantine/quarantine_test.cc
+++ b/source/unit_tests/core/quarantine/quarantine_test.cc
@@ -85,7 +85,7 @@
 
 // Guards against quarantining a request that was cleared: its clearance does
 // not reach one entry, which sends it with a permit; a poison request is
-// admitted beside it and crashes the target, and the entry quarantines both.
+// admitted concurrently and crashes the target, and the entry quarantines both.
 // This happens if the owner, which has the clearance, does not count the
 // running request as a suspect.
 TEST_F(QuarantineTest, TheOwnerRunsOnePermitAtATimeWhateverItKnows) {
@@ -100,7 +100,7 @@
   EXPECT_EQ(owner.AdmitWork(now, kPoison, true), Reason::kNone);
 }
 
-// Guards against refusing a harmless request forever: it is in flight beside a
+// Guards against refusing a harmless request forever: it is in flight with a
 // poison request when the target crashes, and is repeated until it finishes.
 // Finishing must clear it.
 TEST_F(QuarantineTest, AHarmlessRequestIsClearedByFinishing) {
@@ -168,7 +168,8 @@
 }
 
 // Guards against a call that hangs while it waits for its permit: the home of
-// the suspect is dead but not yet declared dead, and the ask has no timeout.
+// the suspect is dead but not yet declared dead, and the permit request has
+// no timeout.
 TEST_F(QuarantineTest, ASilentHomeCausesARefusalWithinTheTimeout) {
   m_fleet.Call(EntryAwayFromHome(kPoison), 0, kPoison, 5ms);
   m_fleet.Advance(1s);
