--- a/source/process_tests/at_most_once_test.cc
+++ b/source/process_tests/at_most_once_test.cc
@@ -53,7 +53,8 @@
     return answer;
   }
 
-  // Must fail if a node takes any claim that it finds in the table for its own.
+  // This check must fail if a node takes any claim that it finds in the table
+  // for its own.
   void ExpectAtMostOneRunPerKey(const std::vector<CallAnswer>& answers) {
     EndFleet();
     std::map<std::string, std::size_t> runs;
--- a/source/process_tests/hostile_input_test.cc
+++ b/source/process_tests/hostile_input_test.cc
@@ -60,8 +60,8 @@
 };
 
 // Guards against a node that crashes or hangs on invalid input because a parser
-// trusts it. Must also fail if a malformed request is reported with the outcome
-// "unknown" in place of "not-run".
+// trusts it. The test must also fail if a malformed request is reported with
+// the outcome "unknown" in place of "not-run".
 TEST_P(HostileInputTest, IsRefusedAndTheNodeKeepsServing) {
   FleetOptions options;
   options.instances = 2;
--- a/source/process_tests/leaving_test.cc
+++ b/source/process_tests/leaving_test.cc
@@ -55,8 +55,8 @@
 };
 
 // Guards against a target that still gets requests after it has withdrawn under
-// load, because an entry node routes by stale state. Must fail if an owner node
-// admits work while its target drains.
+// load, because an entry node routes by stale state. The test must fail if an
+// owner node admits work while its target drains.
 TEST_F(LeavingTest, WithdrawnTargetGetsNoNewRequests) {
   StartFleet();
   CallRequest slow;
--- a/source/process_tests/measuring_test.cc
+++ b/source/process_tests/measuring_test.cc
@@ -96,8 +96,8 @@
 // Guards against more probes than the budget allows, which take capacity from
 // callers. Nodes hold leases on shares of the budget, and two nodes may use the
 // same share after a node is frozen past the end of its lease, is killed or
-// joins, or after the table service fails. Must fail if a lease holder does not
-// keep the interval between its probes.
+// joins, or after the table service fails. The test must fail if a lease holder
+// does not keep the interval between its probes.
 TEST_P(DisturbedMeasuringTest, ProbesStayWithinTheBudgetInEverySecond) {
   StartMeasuring();
   ASSERT_TRUE(WaitForProbes(6));
--- a/source/process_tests/not_run_test.cc
+++ b/source/process_tests/not_run_test.cc
@@ -28,8 +28,8 @@
   using FleetTest::WaitForFleet;
 
  protected:
-  // Must fail if an owner node reports an exchange that was interrupted after
-  // the hand-over to the target as refused.
+  // This check must fail if an owner node reports an exchange as refused that
+  // was interrupted after the hand-over to the target.
   void ExpectNotRunCallsNeverRan(const std::vector<CallAnswer>& answers) {
     EndFleet();
     std::set<std::string> run;
--- a/source/process_tests/poison_test.cc
+++ b/source/process_tests/poison_test.cc
@@ -56,7 +56,8 @@
 // another target, because no node records which requests ran at a crashed
 // target. The bound is one run for each copy that was in flight before the
 // first crash was known, and one more, after which the request is quarantined.
-// Must fail if the owner node does not report the crash to the other nodes.
+// The test must fail if the owner node does not report the crash to the other
+// nodes.
 TEST_P(RepeatedPoisonTest, CrashesOnlyAFewTargets) {
   StartFleet();
   std::size_t crashes = 0;
@@ -100,8 +101,8 @@
 
 // Guards against unrelated requests that are refused for as long as the one
 // that crashes targets. All requests that are in flight at a crash become
-// suspects, and their callers retry them. Must fail if a run that finishes
-// under a permit does not clear its request of suspicion.
+// suspects, and their callers retry them. The test must fail if a run that
+// finishes under a permit does not clear its request of suspicion.
 TEST_F(PoisonRequestTest, UnrelatedRequestsAreClearedAndAnswered) {
   StartFleet();
   // Leaves one target, so that all requests are in flight there.
--- a/source/process_tests/timely_test.cc
+++ b/source/process_tests/timely_test.cc
@@ -30,7 +30,7 @@
   using FleetTest::size;
 
  protected:
-  // Must fail if the deadline timer of the entry node has no effect.
+  // This check must fail if the deadline timer of the entry node has no effect.
   void ExpectFinalAnswers(std::vector<std::future<CallAnswer>>& calls) {
     std::size_t answered = 0;
     std::size_t not_run = 0;
--- a/source/process_tests/whole_answer_test.cc
+++ b/source/process_tests/whole_answer_test.cc
@@ -34,8 +34,9 @@
   using FleetTest::at;
 
  protected:
-  // Sends one of three kinds of calls and checks an answer's digest. Must fail
-  // if an entry node ends a truncated answer as if it were complete.
+  // Sends one of three kinds of calls and checks the answer's digest. This
+  // check must fail if an entry node ends a truncated answer as if it were
+  // complete.
   CallAnswer CallAndCheckAnswer(std::size_t n) {
     CallRequest request;
     request.path = n % 3 == 0 ? fmt::format("/size/{}?n={}", 1000 * (n % 90), n)
