--- a/source/unit_tests/core/claims/claim_book_test.cc
+++ b/source/unit_tests/core/claims/claim_book_test.cc
@@ -83,7 +83,7 @@
 // the insert times out, its read-back fails, the caller is refused, and the
 // insert is applied after all. A write under the same condition must prevent
 // it.
-TEST(ClaimBookTest, InsertThatLandsAfterTheRefusalIsKeptOut) {
+TEST(ClaimBookTest, LateInsertAfterTheRefusalDoesNotBlockTheKey) {
   ClaimCluster cluster(2);
   const std::size_t refused = cluster.Send(0, "k");
   cluster.Resolve(0, Fate::kAppliedLate);
@@ -104,7 +104,7 @@
 // Guards against the same failure: the insert times out, the read-back finds no
 // row, the connection for the second insert is refused, and the first insert is
 // applied. The "unavailable" of the second insert does not settle the first.
-TEST(ClaimBookTest, InsertThatLandsAfterAnUnavailableOneIsKeptOut) {
+TEST(ClaimBookTest, LateInsertAfterAnUnavailableOneDoesNotBlockTheKey) {
   ClaimCluster cluster(2);
   const std::size_t refused = cluster.Send(0, "k");
   for (const Fate fate :
@@ -127,7 +127,7 @@
 // Guards against the same failure after a release: the first insert is late,
 // the second succeeds, the claim is released, and the first insert is applied.
 // This happens if the release deletes the row.
-TEST(ClaimBookTest, InsertThatLandsAfterTheReleaseIsKeptOut) {
+TEST(ClaimBookTest, LateInsertAfterTheReleaseDoesNotBlockTheKey) {
   ClaimCluster cluster(2);
   const std::size_t first = cluster.Send(0, "k");
   cluster.Resolve(0, Fate::kAppliedLate);
@@ -213,7 +213,7 @@
 
 // Guards against calls that wait while the store is down, because each of them
 // sends a request to the table: an outage of 5 s with 10 calls per second.
-TEST(ClaimBookTest, FailingStoreRefusesAtOnceAndIsTriedOnceASecond) {
+TEST(ClaimBookTest, FailingStoreRefusesImmediatelyAndIsTriedOncePerSecond) {
   ClaimCluster cluster(1);
   std::size_t table_requests = 0;
   for (int call = 0; call < 50; ++call) {
@@ -313,7 +313,7 @@
 
 // Guards against unbounded memory use during an outage, while outcomes cannot
 // be written.
-TEST(ClaimBookTest, OutcomesThatWaitAreBounded) {
+TEST(ClaimBookTest, PendingOutcomesAreBounded) {
   ClaimSettings settings;
   settings.max_pending_outcomes = 2;
   settings.max_pending_body_bytes = 30;
@@ -347,7 +347,7 @@
 
 // Guards against a key that stays blocked after its caller disconnects while
 // the insert is in transit, because the claim is dropped without a release.
-TEST(ClaimBookTest, CallerThatGoesWhileAcquiringLeavesNoClaim) {
+TEST(ClaimBookTest, CallerThatDisconnectsWhileAcquiringLeavesNoClaim) {
   ClaimCluster cluster(2);
   const std::size_t first = cluster.Send(0, "k");
   cluster.book(0).Release(cluster.now(), cluster.sends().at(first).claim);
--- a/source/unit_tests/core/limits/limiter_home_test.cc
+++ b/source/unit_tests/core/limits/limiter_home_test.cc
@@ -52,7 +52,7 @@
   EXPECT_NEAR(Ask(101s, 2, Request(1, 10)).granted_units, 20, 0.01);
 }
 
-TEST_F(LimiterHomeTest, AHomeOfLongStandingLendsTheBurst) {
+TEST_F(LimiterHomeTest, AnEstablishedHomeLendsTheBurst) {
   EXPECT_EQ(Ask(100s, 1, Request(1, 10)).granted_units, 50);
 }
 
@@ -155,7 +155,7 @@
                     PaceCase{"calls", 10, 30, 20, RequestPace::kNormal}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST_F(LimiterHomeTest, RepeatedAndOvertakenRequestsGetNothing) {
+TEST_F(LimiterHomeTest, RepeatedAndReorderedRequestsGetNoAnswer) {
   Ask(100s, 1, Request(2, 10));
   for (const std::uint64_t number : {2, 1}) {
     EXPECT_FALSE(m_home.OnRequest(kStart + 101s, NodeId(1), Request(number, 1))
--- a/source/unit_tests/core/limits/token_bucket_test.cc
+++ b/source/unit_tests/core/limits/token_bucket_test.cc
@@ -56,7 +56,7 @@
             {{0, 5, true}, {2, 1, false}, {3.9, 1, false}, {4.1, 1, true}}},
         BucketCase{0, 1, {{0, 1, true}, {1000, 1, false}}}));
 
-TEST(TokenBucketReshapeTest, CutsTheLevelToTheNewBurst) {
+TEST(TokenBucketReconfigureTest, CutsTheLevelToTheNewBurst) {
   const TimePoint start{std::chrono::hours(1)};
   TokenBucket bucket(start, 1, 10);
   bucket.Reconfigure(start, 1, 2);
--- a/source/unit_tests/core/limits/workspace_limiter_test.cc
+++ b/source/unit_tests/core/limits/workspace_limiter_test.cc
@@ -58,7 +58,7 @@
 // call is the first one at its entry again, and an allowance that refills only
 // at its small part of the rate runs out although the home has deducted every
 // call.
-TEST_F(WorkspaceLimiterTest, TheAllowanceIsWholeAgainOnceTheHomeHasBookedIt) {
+TEST_F(WorkspaceLimiterTest, TheAllowanceIsRefilledOnceTheHomeHasDeductedIt) {
   const WorkspaceName workspace("rare");
   const WorkspaceLimits limits{0.5, 4, 10};
   m_fleet.SetLimits(workspace, limits);
@@ -152,7 +152,7 @@
   EXPECT_LE(heavy.admitted(), 60 * 100 / 70 + 4);
 }
 
-TEST_F(WorkspaceLimiterTest, AContractThatIsCutIsInForceAtOnce) {
+TEST_F(WorkspaceLimiterTest, LoweredLimitsApplyImmediately) {
   m_load.Run(10s, {100, 100});
   const WorkspaceLimits cut{10, 5, 40};
   m_fleet.SetLimits(kWorkspace, cut);
@@ -186,7 +186,7 @@
 // Guards against refusing half the calls of a workspace whose callers move to
 // another entry: the first entry has borrowed half of the in-flight limit and
 // keeps that loan until its term ends although it is idle.
-TEST_F(WorkspaceLimiterTest, AnIdleEntryGivesItsLoanBack) {
+TEST_F(WorkspaceLimiterTest, AnIdleEntryReturnsItsLoan) {
   m_load.Call(0);
   m_load.Call(1);
   m_load.Run(10s, {});
@@ -272,7 +272,7 @@
 // it borrows most of the rate, is frozen beyond the term while the home lends
 // the same rate to others, and resumes. A loan whose term is checked by a timer
 // instead of at each call would still be used.
-TEST_F(WorkspaceLimiterTest, AFrozenEntryDoesNotUseALapsedLoan) {
+TEST_F(WorkspaceLimiterTest, AFrozenEntryDoesNotUseAnExpiredLoan) {
   std::vector<double> rates(7, 0);
   rates[EntryAwayFromHome()] = 300;
   m_load.Run(10s, rates);
--- a/source/unit_tests/core/quarantine/quarantine_test.cc
+++ b/source/unit_tests/core/quarantine/quarantine_test.cc
@@ -124,7 +124,7 @@
 // Guards against a suspect that runs on two targets at once and crashes both:
 // several entries send it in the same millisecond. This happens if each entry
 // decides on its own.
-TEST_F(QuarantineTest, OfRacingEntriesOneGetsThePermit) {
+TEST_F(QuarantineTest, OneOfSeveralConcurrentEntriesGetsThePermit) {
   m_fleet.Call(1, 0, kPoison, 5ms);
   m_fleet.Advance(1s);
   for (std::size_t entry = 0; entry < kNodes; ++entry)
@@ -255,7 +255,7 @@
 // Guards against a run that continues although the permit was granted to
 // another entry: the entry that runs the suspect is disconnected from the home
 // and must cancel a run whose permit was not renewed.
-TEST_F(QuarantineTest, AnEntryThatIsCutOffCancelsTheRun) {
+TEST_F(QuarantineTest, ADisconnectedEntryCancelsTheRun) {
   m_fleet.Call(EntryAwayFromHome(kHarmless), 0, kHarmless, 50ms);
   m_fleet.Call(EntryAwayFromHome(kHarmless), 0, kPoison, 10ms);
   m_fleet.Advance(1s);
