--- a/source/core/admission/adaptive_limit.cc
+++ b/source/core/admission/adaptive_limit.cc
@@ -83,10 +83,11 @@
   if (baseline.answers < kBaselineAnswers)
     return;
   const double mean = baseline.sum_log_ratio / baseline.answers;
-  const Duration memory =
+  const Duration time_constant =
       mean < 0 ? kFallTimeConstant : m_settings.baseline_time_constant;
   const double elapsed = ToSeconds(now - baseline.updated_at);
-  baseline.log_latency += mean * (1 - std::exp(-elapsed / ToSeconds(memory)));
+  baseline.log_latency +=
+      mean * (1 - std::exp(-elapsed / ToSeconds(time_constant)));
   baseline.sum_log_ratio = 0;
   baseline.answers = 0;
   baseline.updated_at = now;
--- a/source/core/admission/admission.h
+++ b/source/core/admission/admission.h
@@ -55,7 +55,7 @@
                          const AdmissionRefusal&) = default;
 };
 
-// Actions for the caller to take now. Refused works are forgotten and were not
+// Actions for the caller to take now. Refused works are removed and were not
 // handed to the target; started ones hold a slot until `OnEnded` or
 // `OnCancelled`.
 struct AdmissionOutput {
--- a/source/core/admission/start_estimate.h
+++ b/source/core/admission/start_estimate.h
@@ -55,8 +55,8 @@
   double slowdown = conditions.reported_slowdown;
   if (conditions.is_cold && !conditions.is_reported)
     slowdown = kColdSlowdown;
-  // At most `limit` requests run at once, so a target whose limit is below its
-  // knee is never congested.
+  // At most `limit` requests run concurrently, so a target whose limit is below
+  // its knee is never congested.
   if (std::min(total, limit) > kCongestionThreshold * conditions.slots)
     slowdown *= kCongestedSlowdown;
   // At the limit, a slot becomes free every 1/limit of the service time on
--- a/source/unit_tests/core/admission/admission_test.cc
+++ b/source/unit_tests/core/admission/admission_test.cc
@@ -417,10 +417,9 @@
 
 class HoldTest : public testing::TestWithParam<HoldCase> {};
 
-// Guards against transferring large answers from another zone although the near
-// target is only briefly disturbed, because its owner can only refuse or start
-// at once. And against holding a request so long that it is late on any other
-// target.
+// Guards against an owner that does not hold requests during a brief
+// disturbance, so that large answers are transferred from another zone. And
+// against holding a request so long that it is late on any other target.
 TEST_P(HoldTest, StartsWithinTheHoldOrIsRefusedAtItsEnd) {
   Admission admission(AdmissionSettings{}, std::make_unique<FixedLimit>());
   const TimePoint arrival(10s);
--- a/source/unit_tests/core/admission/disturbed_load_test.cc
+++ b/source/unit_tests/core/admission/disturbed_load_test.cc
@@ -148,7 +148,7 @@
                     DisturbedLoad{"Undisturbed", 20, 500ms, 0, 1, 1, 1.0},
                     // A permanently slow target is not disturbed: works must
                     // not wait for it to become faster.
-                    DisturbedLoad{"SlowForGood", 6, 500ms, 1, 3, 1, 0.95},
+                    DisturbedLoad{"PermanentlySlow", 6, 500ms, 1, 3, 1, 0.95},
                     DisturbedLoad{"StillCold", 12, 500ms, 0, 1, 2, 0.95}),
     [](const auto& info) { return std::string(info.param.name); });
 
@@ -273,9 +273,9 @@
     testing::Values(SlowdownBaselineCase{"Nothing", {}, 1},
                     SlowdownBaselineCase{"OnlyCold", {2, 14, 2}, 2},
                     SlowdownBaselineCase{"WarmAgain", {2, 2, 1, 7}, 1},
-                    SlowdownBaselineCase{"SlowForGood",
+                    SlowdownBaselineCase{"PermanentlySlow",
                                          std::vector<double>(40, 5), 5},
-                    SlowdownBaselineCase{"SlowAfterAQuietPast",
+                    SlowdownBaselineCase{"SlowAfterAFastPeriod",
                                          [] {
                                            std::vector<double> reported(20, 1);
                                            reported.insert(reported.end(), 40,
@@ -305,14 +305,14 @@
     testing::Values(
         EstimateCase{"Idle", {.limit = 9, .slots = 9}, true},
         EstimateCase{"Busy", {.in_flight = 6, .limit = 9, .slots = 9}, true},
-        EstimateCase{"Crowded",
+        EstimateCase{"Congested",
                      {.in_flight = 8, .limit = 9, .slots = 9},
                      false},
         EstimateCase{"Full", {.in_flight = 9, .limit = 9, .slots = 9}, false},
         // Guards against refusing a target as slow at nine of twelve slots,
         // where it is limited to stay below its knee: the congestion threshold
         // applies to the slots, not to the limit.
-        EstimateCase{"KeptBelowItsKnee",
+        EstimateCase{"LimitedBelowItsKnee",
                      {.in_flight = 8, .limit = 9, .slots = 12},
                      true},
         // One of nine requests ends within a ninth of the service time on
@@ -329,11 +329,11 @@
                       .reported_slowdown = 7,
                       .is_reported = true},
                      false},
-        EstimateCase{"ColdAndSilent",
+        EstimateCase{"ColdWithoutReport",
                      {.limit = 9, .slots = 9, .is_cold = true},
                      false},
         EstimateCase{
-            "ColdByItsWordNoMore",
+            "ColdWithReportOfNormalSpeed",
             {.limit = 9, .slots = 9, .is_reported = true, .is_cold = true},
             true}),
     [](const auto& info) { return std::string(info.param.name); });
--- a/source/unit_tests/core/admission/service_times_test.cc
+++ b/source/unit_tests/core/admission/service_times_test.cc
@@ -28,7 +28,7 @@
 
 const KindName kView("view");
 
-struct LearningCase {
+struct ConvergenceCase {
   const char* name;
   Duration assumed;
   std::vector<Duration> answers;
@@ -36,7 +36,7 @@
   Duration most;
 };
 
-class ServiceTimesTest : public testing::TestWithParam<LearningCase> {};
+class ServiceTimesTest : public testing::TestWithParam<ConvergenceCase> {};
 
 TEST_P(ServiceTimesTest, ConvergesAfterFewAnswers) {
   ServiceTimes times(GetParam().assumed);
@@ -56,15 +56,15 @@
     Answers,
     ServiceTimesTest,
     testing::Values(
-        LearningCase{"One", 10ms, {340ms}, 339ms, 341ms},
-        LearningCase{"Three", 10ms, {300ms, 340ms, 380ms}, 330ms, 350ms},
-        LearningCase{"FasterThanAssumed", 1s, {15ms, 17ms}, 15ms, 17ms},
+        ConvergenceCase{"One", 10ms, {340ms}, 339ms, 341ms},
+        ConvergenceCase{"Three", 10ms, {300ms, 340ms, 380ms}, 330ms, 350ms},
+        ConvergenceCase{"FasterThanAssumed", 1s, {15ms, 17ms}, 15ms, 17ms},
         // A single long request must not dominate the mean.
-        LearningCase{"OneLong",
-                     10ms,
-                     {20ms, 20ms, 20ms, 20ms, 20ms, 20ms, 20ms, 20ms, 2h},
-                     20ms,
-                     40ms}),
+        ConvergenceCase{"OneLong",
+                        10ms,
+                        {20ms, 20ms, 20ms, 20ms, 20ms, 20ms, 20ms, 20ms, 2h},
+                        20ms,
+                        40ms}),
     [](const auto& info) { return std::string(info.param.name); });
 
 // Simulates one target of nine slots with 340 ms a request. From the start,
