--- a/source/core/target_state/refused_reports.h
+++ b/source/core/target_state/refused_reports.h
@@ -17,8 +17,8 @@
 
 class RefusedReports {
  public:
-  // Each fault of a sender is logged once within kResetAfter, and at most this
-  // many lines in total. The metric counts all refused reports.
+  // Within kResetAfter, each fault of a sender is logged once, and at most this
+  // many lines are logged. The metric counts all refused reports.
   static constexpr std::size_t kMaxLogged = 64;
   static constexpr Duration kResetAfter = std::chrono::minutes(10);
 
--- a/source/core/target_state/target_gate.h
+++ b/source/core/target_state/target_gate.h
@@ -11,8 +11,8 @@
 // opens the gate again.
 //
 // A target may restart under the same id, and its sequence numbers start again.
-// Unless its processes are told apart, the heartbeats of the new one look like
-// late ones of the old one, and the target never gets requests again.
+// Unless its processes are distinguished, the heartbeats of the new one look
+// like late ones of the old one, and the target never gets requests again.
 
 #ifndef BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_GATE_H_
 #define BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_GATE_H_
--- a/source/core/target_state/target_lifecycle_machine.cc
+++ b/source/core/target_state/target_lifecycle_machine.cc
@@ -35,7 +35,7 @@
 };
 
 using Gone = State<TargetState::kGone>;
-using Known = State<TargetState::kAnnounced>;
+using AnnouncedState = State<TargetState::kAnnounced>;
 using Warming = State<TargetState::kWarming>;
 using Serving = State<TargetState::kServing>;
 using Suspect = State<TargetState::kSuspect>;
@@ -53,27 +53,27 @@
   // Boost.MSM requires this name.
   // NOLINTNEXTLINE(readability-identifier-naming)
   struct transition_table : vector<
-      Row<Gone,     Announced,     Known>,
-      Row<Known,    Announced,     Known>,
-      Row<Known,    Answered,       Warming>,
-      Row<Known,    Suspected,     Suspect>,
-      Row<Known,    Withdrawn,     Draining>,
-      Row<Known,    GoneAway,      Gone>,
-      Row<Warming,  Announced,     Known>,
-      Row<Warming,  ColdStartOver, Serving>,
-      Row<Warming,  Suspected,     Suspect>,
-      Row<Warming,  Withdrawn,     Draining>,
-      Row<Warming,  GoneAway,      Gone>,
-      Row<Serving,  Announced,     Known>,
-      Row<Serving,  Suspected,     Suspect>,
-      Row<Serving,  Withdrawn,     Draining>,
-      Row<Serving,  GoneAway,      Gone>,
-      Row<Suspect,  Announced,     Known>,
-      Row<Suspect,  Answered,       Warming>,
-      Row<Suspect,  Withdrawn,     Draining>,
-      Row<Suspect,  GoneAway,      Gone>,
-      Row<Draining, Announced,     Known>,
-      Row<Draining, GoneAway,      Gone>> {};
+      Row<Gone,           Announced,     AnnouncedState>,
+      Row<AnnouncedState, Announced,     AnnouncedState>,
+      Row<AnnouncedState, Answered,      Warming>,
+      Row<AnnouncedState, Suspected,     Suspect>,
+      Row<AnnouncedState, Withdrawn,     Draining>,
+      Row<AnnouncedState, GoneAway,      Gone>,
+      Row<Warming,        Announced,     AnnouncedState>,
+      Row<Warming,        ColdStartOver, Serving>,
+      Row<Warming,        Suspected,     Suspect>,
+      Row<Warming,        Withdrawn,     Draining>,
+      Row<Warming,        GoneAway,      Gone>,
+      Row<Serving,        Announced,     AnnouncedState>,
+      Row<Serving,        Suspected,     Suspect>,
+      Row<Serving,        Withdrawn,     Draining>,
+      Row<Serving,        GoneAway,      Gone>,
+      Row<Suspect,        Announced,     AnnouncedState>,
+      Row<Suspect,        Answered,      Warming>,
+      Row<Suspect,        Withdrawn,     Draining>,
+      Row<Suspect,        GoneAway,      Gone>,
+      Row<Draining,       Announced,     AnnouncedState>,
+      Row<Draining,       GoneAway,      Gone>> {};
   // clang-format on
 
   template <typename Machine, typename Event>
--- a/source/core/target_state/target_lifecycle_machine.h
+++ b/source/core/target_state/target_lifecycle_machine.h
@@ -1,5 +1,5 @@
-// State machine of a target's lifecycle. It holds no data but the state; the
-// evidence that raises its events is kept apart.
+// State machine of a target's lifecycle. It holds no data but the state;
+// TargetLifecycle evaluates the evidence and raises the events.
 
 #ifndef BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_LIFECYCLE_MACHINE_H_
 #define BULRUSHMOUNT_CORE_TARGET_STATE_TARGET_LIFECYCLE_MACHINE_H_
--- a/source/unit_tests/core/target_state/target_gate_test.cc
+++ b/source/unit_tests/core/target_state/target_gate_test.cc
@@ -118,8 +118,7 @@
   EXPECT_FALSE(m_gate.current());
 }
 
-// --- Targets that restart under the same id
-// -----------------------------------
+// --- Targets that restart under the same id ---------------------------------
 
 TargetHeartbeat WithProcess(int process, TargetHeartbeat heartbeat) {
   heartbeat.started = ProcessStart(std::chrono::milliseconds(process));
