--- a/source/core/measuring/lease_state_machine.cc
+++ b/source/core/measuring/lease_state_machine.cc
@@ -35,7 +35,7 @@
 };
 
 using Absent = State<LeaseState::kAbsent>;
-using Waiting = State<LeaseState::kRequested>;
+using RequestedState = State<LeaseState::kRequested>;
 using Held = State<LeaseState::kHeld>;
 using Releasing = State<LeaseState::kReleasing>;
 using OutcomeUnknown = State<LeaseState::kOutcomeUnknown>;
@@ -52,17 +52,17 @@
   // Boost.MSM requires this name.
   // NOLINTNEXTLINE(readability-identifier-naming)
   struct transition_table : vector<
-      Row<Absent,    Requested,        Waiting>,
-      Row<Waiting,   Granted,          Held>,
-      Row<Waiting,   Refused,          Absent>,
-      Row<Waiting,   AnswerLost,       OutcomeUnknown>,
-      Row<Waiting,   Lapsed,           Absent>,
-      Row<Held,      ReleaseRequested, Releasing>,
-      Row<Held,      Lapsed,           Absent>,
-      Row<Releasing, Lapsed,           Absent>,
-      Row<OutcomeUnknown,    Granted,          Held>,
-      Row<OutcomeUnknown,    Refused,          Absent>,
-      Row<OutcomeUnknown,    Lapsed,           Absent>> {};
+      Row<Absent,         Requested,        RequestedState>,
+      Row<RequestedState, Granted,          Held>,
+      Row<RequestedState, Refused,          Absent>,
+      Row<RequestedState, AnswerLost,       OutcomeUnknown>,
+      Row<RequestedState, Lapsed,           Absent>,
+      Row<Held,           ReleaseRequested, Releasing>,
+      Row<Held,           Lapsed,           Absent>,
+      Row<Releasing,      Lapsed,           Absent>,
+      Row<OutcomeUnknown, Granted,          Held>,
+      Row<OutcomeUnknown, Refused,          Absent>,
+      Row<OutcomeUnknown, Lapsed,           Absent>> {};
   // clang-format on
 
   template <typename Machine, typename Event>
--- a/source/unit_tests/core/measuring/budget_invariant_test.cc
+++ b/source/unit_tests/core/measuring/budget_invariant_test.cc
@@ -209,7 +209,7 @@
 
 // Guards against a sum above both budgets, or a lower budget that never takes
 // effect, after changes that reach the nodes at different times among all other
-// faults: slots of two layouts must not be granted side by side.
+// faults: slots of two layouts must not be granted concurrently.
 RC_GTEST_PROP(BudgetInvariant, HoldsWhileBudgetsChange, (std::uint64_t seed)) {
   const auto commands =
       *AnyCommands(static_cast<std::uint8_t>(Command::kCount));
--- a/source/unit_tests/core/measuring/budget_lease_test.cc
+++ b/source/unit_tests/core/measuring/budget_lease_test.cc
@@ -161,7 +161,7 @@
 
 // Guards against a sum of shares above the smaller budget: a holder under the
 // earlier, larger budget has not received the new one, and a node with the new
-// one finds a free slot beside it.
+// one finds a free slot.
 TEST_F(BudgetLeaseTest, GrantsNothingWhileASlotOfAnotherBudgetMayBeHeld) {
   auto holder = MakeLease(1);
   holder->OnBudget(m_now, Revision(1), Layout(4, 4));
