--- a/source/core/node_logic/owner_side.cc
+++ b/source/core/node_logic/owner_side.cc
@@ -268,7 +268,8 @@
   if (!work)
     return;
   RecordEnd(now, *work, TraitsOf(Reason::kTargetLost).token);
-  m_life.OnRequestResult(now, RequestResult::kBrokenOff, work->head.workspace);
+  m_life.OnRequestResult(now, RequestResult::kConnectionLost,
+                         work->head.workspace);
   RecordFailure(now, *work);
   m_actions.Push(FailWork{event.work, Reason::kTargetLost, LoadAt(now)});
   AdmissionOutput output =
--- a/source/core/target_state/target_evidence.cc
+++ b/source/core/target_state/target_evidence.cc
@@ -26,7 +26,7 @@
       return;
     case RequestResult::kConnectFailed:
     case RequestResult::kError:
-    case RequestResult::kBrokenOff:
+    case RequestResult::kConnectionLost:
       break;
   }
   AddResult({workspace, now, result != RequestResult::kAnswered});
--- a/source/core/target_state/target_evidence.h
+++ b/source/core/target_state/target_evidence.h
@@ -27,7 +27,7 @@
   // The connection could not be established.
   kConnectFailed,
   // The connection was lost after the request was handed over.
-  kBrokenOff,
+  kConnectionLost,
 };
 
 struct EvidenceThresholds {
--- a/source/unit_tests/core/target_state/target_lifecycle_test.cc
+++ b/source/unit_tests/core/target_state/target_lifecycle_test.cc
@@ -95,7 +95,8 @@
         return m_lifecycle.OnRequestResult(m_now,
                                            RequestResult::kConnectFailed);
       case 'b':
-        return m_lifecycle.OnRequestResult(m_now, RequestResult::kBrokenOff);
+        return m_lifecycle.OnRequestResult(m_now,
+                                           RequestResult::kConnectionLost);
       case '+':
         return m_lifecycle.OnProbe(m_now, true);
       case '-':
