--- a/source/unit_tests/core/routing/power_of_choices_picker_test.cc
+++ b/source/unit_tests/core/routing/power_of_choices_picker_test.cc
@@ -100,7 +100,7 @@
 
 // Guards against a failing target that refuses immediately, reports an idle
 // load and so attracts all retries.
-TEST_P(PickerRefusalTest, FailuresLowerTheScoreOfTheTarget) {
+TEST_P(PickerRefusalTest, FailuresRaiseTheScoreOfTheTarget) {
   const LoadReport idle{
       .in_flight = 0, .queued = 0, .limit = 12, .service_time = 10ms};
   m_picker.OnRefused(m_now, Send(kTestedNode), GetParam().reason, idle);
