--- a/source/core/measuring/budget_lease.cc
+++ b/source/core/measuring/budget_lease.cc
@@ -106,10 +106,10 @@
   if (m_state_machine.state() == LeaseState::kHeld) {
     return HeldWakeup(idle_at);
   }
-  const bool is_asking =
+  const bool is_request_due =
       m_state_machine.state() == LeaseState::kOutcomeUnknown ||
       IsSlotWanted() || m_is_layout_check_due;
-  return is_asking ? m_next_attempt : TimePoint::max();
+  return is_request_due ? m_next_attempt : TimePoint::max();
 }
 
 TimePoint BudgetLease::HeldWakeup(TimePoint idle_at) const {
