--- a/source/core/admission/admission.cc
+++ b/source/core/admission/admission.cc
@@ -196,10 +196,11 @@
       FromSeconds(waits * ToSeconds(m_service_times.slot_time_per_unit()));
   if (!request.is_last_attempt)
     return expected;
-  const double part = m_service_times.has_samples()
-                          ? m_settings.min_wait_of_time_left
-                          : m_settings.min_wait_before_first_answer;
-  return std::max(expected, FromSeconds(part * ToSeconds(request.time_left)));
+  const double fraction = m_service_times.has_samples()
+                              ? m_settings.min_wait_of_time_left
+                              : m_settings.min_wait_before_first_answer;
+  return std::max(expected,
+                  FromSeconds(fraction * ToSeconds(request.time_left)));
 }
 
 bool Admission::IsOverloaded(Rank rank) const {
