--- a/source/core/pipeline/claim_filter.cc
+++ b/source/core/pipeline/claim_filter.cc
@@ -40,7 +40,7 @@
   if (!call.claim)
     return;
   const ClaimId claim = *std::exchange(call.claim, std::nullopt);
-  // The claim book ignores each of these for a claim that was not granted.
+  // The claim book ignores these calls for a claim that was not granted.
   if (end.outcome == Outcome::kAnswered)
     m_claims.Finish(now, claim, end.answer);
   else if (call.may_have_run)
--- a/source/core/pipeline/dispatcher.cc
+++ b/source/core/pipeline/dispatcher.cc
@@ -19,7 +19,7 @@
 constexpr int kFirstServerError = 500;
 
 // Time allowed for an attempt in another zone, as a multiple of its mean time:
-// it covers the variation of the mean and a possible further attempt.
+// it covers the variation around the mean and a possible further attempt.
 constexpr double kRemoteAttemptMargin = 1.6;
 
 // A shorter hold would end before anything at the target could change.
@@ -68,9 +68,9 @@
     m_ask_budget.OnRefused(now, call->head.service);
   if (event.reason == Reason::kSlowTarget)
     call->offers.Add(call->attempt->dispatch.node, event.load.slowdown);
-  // Another owner would also refuse a suspect request. If most owners refuse, a
-  // refusal for lack of capacity ends the call as well; a refusal by a leaving
-  // owner does not.
+  // Another owner would also refuse a suspect or quarantined request. Once the
+  // ask budget is spent, a refusal for lack of capacity ends the call as well;
+  // a refusal by a draining owner does not.
   const bool may_retry =
       event.reason != Reason::kQuarantined &&
       event.reason != Reason::kSuspect &&
@@ -168,8 +168,8 @@
   TryNextOwner(now, *call);
 }
 
-// If a retry is reserved for each attempt, it belongs to the attempt and cannot
-// be spent while the attempt is in progress.
+// Unless `refusals_cost_no_retry` is set, the retry is reserved for the attempt
+// and cannot be spent while the attempt is in progress.
 bool Dispatcher::MayLeaveSilentOwner(const Call& call) const {
   return m_settings.leaves_silent_owners && m_settings.refusals_cost_no_retry &&
          HasOtherOwners(call) &&
--- a/source/core/pipeline/quarantine_filter.cc
+++ b/source/core/pipeline/quarantine_filter.cc
@@ -63,8 +63,8 @@
   m_quarantine.EndPermit(m_event_time, fingerprint, PermitEnd::kInconclusive);
 }
 
-// A convicted request is refused for minutes; a suspect one may run as soon as
-// the current holder of the permit has ended.
+// A quarantined request is refused for minutes; a suspect one may run as soon
+// as the current holder of the permit has ended.
 Reason QuarantineFilter::ReasonWithoutPermit(Fingerprint fingerprint) {
   return m_quarantine.Check(m_event_time, fingerprint) == Verdict::kQuarantined
              ? Reason::kQuarantined
--- a/source/unit_tests/core/pipeline/slowdown_threshold_test.cc
+++ b/source/unit_tests/core/pipeline/slowdown_threshold_test.cc
@@ -28,7 +28,7 @@
 
 class SlowdownThresholdTest : public testing::TestWithParam<ThresholdCase> {};
 
-// Failure: after a restart of all targets each call tries four owners in vain
+// Failure: after a restart of all targets each call is refused by four owners
 // before it starts. All targets are cold and report twice their usual time, but
 // the entry accepts only 1.5 times that of a warm target instead of comparing
 // with the best report.
@@ -45,17 +45,16 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Words,
+    Reports,
     SlowdownThresholdTest,
-    testing::Values(
-        ThresholdCase{"Nothing", {}, 0ms, 1.5, 1.5},
-        ThresholdCase{"AllCold", {2, 2, 2, 2}, 10ms, 2, 2.3},
-        // A slow target is not accepted while another one is free.
-        ThresholdCase{"OneDisturbed", {4, 1, 1, 1}, 10ms, 1.5, 1.5},
-        ThresholdCase{"OneUndisturbed", {4, 4, 4, 1}, 10ms, 1.5, 1.5},
-        // The owner without a report may be faster than all others.
-        ThresholdCase{"TooFewWords", {4, 4, 4}, 10ms, 1.5, 1.5},
-        ThresholdCase{"WordsOfLongAgo", {2, 2, 2, 2}, 400ms, 1.5, 1.5}),
+    testing::Values(ThresholdCase{"Nothing", {}, 0ms, 1.5, 1.5},
+                    ThresholdCase{"AllCold", {2, 2, 2, 2}, 10ms, 2, 2.3},
+                    // A slow target is not accepted while another one is free.
+                    ThresholdCase{"OneSlow", {4, 1, 1, 1}, 10ms, 1.5, 1.5},
+                    ThresholdCase{"OneFast", {4, 4, 4, 1}, 10ms, 1.5, 1.5},
+                    // The owner without a report may be faster than all others.
+                    ThresholdCase{"TooFewReports", {4, 4, 4}, 10ms, 1.5, 1.5},
+                    ThresholdCase{"OldReports", {2, 2, 2, 2}, 400ms, 1.5, 1.5}),
     [](const auto& info) { return std::string(info.param.name); });
 
 TEST(SlowdownThresholdTakenTest, AcceptsATakenOfferBriefly) {
