--- a/source/core/node_logic/entry_side.cc
+++ b/source/core/node_logic/entry_side.cc
@@ -121,8 +121,8 @@
         std::make_unique<ContractFilter>(m_parts.contracts, m_pipeline));
     m_pipeline.AddFilter(std::make_unique<LimitFilter>(m_parts.limiter));
   }
-  // Only where refusals cost no retry; otherwise the retry budget limits the
-  // attempts.
+  // Throttles only if refusals cost no retry; otherwise the retry budget limits
+  // the attempts.
   if (settings.refusals_cost_no_retry && settings.policies.throttle) {
     auto throttle = std::make_unique<ThrottleFilter>(m_parts.random);
     m_throttle = throttle.get();
--- a/source/core/node_logic/node_settings.h
+++ b/source/core/node_logic/node_settings.h
@@ -17,7 +17,7 @@
 namespace bulrushmount {
 
 // The last part of NodeSettings::longest_leave, in which no new requests are
-// accepted, so that running ones can end and the process exits by itself.
+// accepted, so that running ones can end and the process exits normally.
 inline constexpr Duration kFinalDrainTime = std::chrono::milliseconds(800);
 // Time before the end of longest_leave at which the node exits regardless of
 // requests in progress.
@@ -63,7 +63,7 @@
   // Allowance of a cold target in addition to the cold rate of its service.
   ColdStartSettings cold_start;
 
-  // How long a convicted request is refused.
+  // How long a quarantined request is refused.
   Duration quarantine_time = std::chrono::minutes(10);
 
   // Targets have ids, and the operator writes one routing document instead of
--- a/source/core/node_logic/node_updates.cc
+++ b/source/core/node_logic/node_updates.cc
@@ -93,7 +93,7 @@
 void Node::UpdateRouter(TimePoint now,
                         const Member& member,
                         bool is_forgotten) {
-  // A suspect owner may be frozen, and calls sent there would wait in vain. If
+  // A suspect owner may be frozen, and calls sent there would get no answer. If
   // this node is the isolated one, a refusal is correct as well.
   const bool takes_calls =
       !is_forgotten && member.state == MemberState::kAlive && member.target &&
--- a/source/core/node_logic/owner_side.cc
+++ b/source/core/node_logic/owner_side.cc
@@ -274,15 +274,16 @@
   m_actions.Push(FailWork{event.work, Reason::kTargetLost, LoadAt(now)});
   AdmissionOutput output =
       m_admission.OnEnded(now, event.work, WorkEnd::kFailed);
-  // If lost answers alone do not indicate a crash, refused connections do.
+  // With m_needs_crash a lost answer does not indicate a crash; only refused
+  // connections do.
   if (!m_needs_crash && !IsAnyHandedOver())
     RecordCrash(now);
   Apply(now, output);
 }
 
-// If crashes are not awaited, each request whose exchange fails is suspect at
-// once, since a retry by its entry could crash the next target. A harmless
-// request is cleared when it completes alone.
+// Without m_needs_crash, each request whose exchange fails is suspect at once,
+// since a retry by its entry or a repeat by its caller could crash the next
+// target meanwhile. A harmless request is cleared when it completes alone.
 void OwnerSide::RecordFailure(TimePoint now, const OwnedWork& work) {
   const AdmittedWork broken = work.admitted();
   if (!m_needs_crash) {
@@ -425,8 +426,8 @@
   return Take(id);
 }
 
-// All exchanges with the target have failed and none has completed since: the
-// target counts as crashed until its next report.
+// Called when an exchange has failed and no other is in progress: the target
+// counts as crashed until its next report.
 void OwnerSide::RecordCrash(TimePoint now) {
   m_life.OnCrashed(now);
   LogLine(LogLevel::kWarning, "target.crashed")
--- a/source/unit_tests/core/node_logic/event_script.cc
+++ b/source/unit_tests/core/node_logic/event_script.cc
@@ -426,7 +426,7 @@
   if (is_relayed && !may_be_relayed)
     Fault("a second answer after the head of the first");
   if (!is_relayed && must_be_relayed)
-    Fault("an answer is broken off that never began");
+    Fault("an answer that never began is aborted");
   m_calls.erase(found);
 }
 
--- a/source/unit_tests/core/node_logic/failing_fast_test.cc
+++ b/source/unit_tests/core/node_logic/failing_fast_test.cc
@@ -58,7 +58,7 @@
   }
 
   // Both workspaces send requests for `duration`. Returns the share of calls of
-  // the innocent workspace that were answered successfully.
+  // the other workspace that were answered successfully.
   double Goodput(Duration duration, const char* method_of_failing) {
     const TimePoint end = m_fleet.now() + duration;
     std::vector<std::size_t> calls;
--- a/source/unit_tests/core/node_logic/node_logic_test.cc
+++ b/source/unit_tests/core/node_logic/node_logic_test.cc
@@ -344,13 +344,14 @@
   EXPECT_LE(fleet->crashes(), most_crashes);
 }
 
-// Failure: a reader whose search ran at the same time as a crashing request
-// gets the Retry-After of a minute although it could run within a second. The
-// target crashes with both requests, the search is sent twice concurrently,
-// then the crashing request runs alone and crashes the target again. The cause
-// is that suspect and convicted requests are refused with the same reason.
+// Failure: a harmless request that ran concurrently with a crashing one gets a
+// Retry-After of a minute although it could run within a second. The target
+// crashes with both requests, the harmless one is sent twice concurrently, then
+// the crashing one runs alone, crashes the target again and is sent once more.
+// The cause is that suspect and quarantined requests are refused with the same
+// reason.
 TEST_F(NodeLogicTest,
-       SuspectAndConvictedRequestsAreRefusedWithDifferentReasons) {
+       SuspectAndQuarantinedRequestsAreRefusedWithDifferentReasons) {
   const auto fleet = MakeFleet(1, 7);
   fleet->Run(std::chrono::seconds(10));
   const auto send = [&fleet](const char* method) {
@@ -371,9 +372,9 @@
 
   send(Fleet::kPoisonMethod);
   fleet->Run(std::chrono::seconds(3));
-  const std::size_t convicted = send(Fleet::kPoisonMethod);
+  const std::size_t quarantined = send(Fleet::kPoisonMethod);
   fleet->Run(std::chrono::seconds(1));
-  EXPECT_EQ(fleet->calls()[convicted].reason, Reason::kQuarantined);
+  EXPECT_EQ(fleet->calls()[quarantined].reason, Reason::kQuarantined);
   EXPECT_EQ(fleet->crashes(), 2U);
 }
 
--- a/source/unit_tests/core/node_logic/routed_node_test.cc
+++ b/source/unit_tests/core/node_logic/routed_node_test.cc
@@ -344,7 +344,7 @@
   Start();
   TargetHeartbeat stranger = Heartbeat("i-9", 1);
   stranger.service = ServiceName("unheard-of");
-  for (int word = 0; word < 3; ++word)
+  for (int report = 0; report < 3; ++report)
     Deliver(TargetReportRefused{InstanceId("i-1"), "slots: above 0"});
   Deliver(stranger);
   const std::string page = m_logic.MetricsText(m_now);
