--- a/source/core/evacuation/evacuation_table.h
+++ b/source/core/evacuation/evacuation_table.h
@@ -26,8 +26,8 @@
 struct EvacuationSettings {
   // Zones that operators may evacuate; any if empty.
   std::vector<AvailabilityZone> known_zones;
-  // Whether nothing is served until the evacuations are known. False where they
-  // are part of the contracts.
+  // If true, nothing is served until the evacuations are known. False in
+  // deployments where evacuations are part of the contracts.
   bool needs_read = true;
   // Time after a restore during which evacuations are kept, so that the
   // operator's rows can be written again.
--- a/source/core/routes/route_config.h
+++ b/source/core/routes/route_config.h
@@ -36,7 +36,7 @@
   bool is_repeatable = false;
   // Maximum time until the caller has a final answer.
   Duration timeout{};
-  // Latency objective of an answer.
+  // Latency objective: an answer after this time is worth less to the caller.
   Duration latency_objective{};
   // 0 is the most urgent.
   std::uint32_t priority = 0;
