--- a/source/core/pipeline/adaptive_throttle.h
+++ b/source/core/pipeline/adaptive_throttle.h
@@ -30,8 +30,8 @@
 class AdaptiveThrottle {
  public:
   // Whether the call may be sent to an owner. Each admitted call is reported
-  // with `OnAnswered` or `OnRefused`, or with neither if its result
-  // gives no information about load.
+  // with `OnAnswered` or `OnRefused`, or with neither if its result gives no
+  // information about load.
   bool Admit(TimePoint now, const CallClass& calls, RandomSource& random);
 
   // `has_room`: the target could have run another call concurrently.
--- a/source/core/pipeline/call_pipeline.cc
+++ b/source/core/pipeline/call_pipeline.cc
@@ -29,7 +29,7 @@
     entry.early_verdict = std::move(verdict);
     return;
   }
-  if (Settle(now, call, verdict))
+  if (ApplyVerdict(now, call, verdict))
     RunFilters(now, call);
 }
 
@@ -102,7 +102,7 @@
       m_sink.OnCallAccepted(now, entry.call);
       return;
     }
-    if (!Settle(now, id, RunFilter(now, entry)))
+    if (!ApplyVerdict(now, id, RunFilter(now, entry)))
       return;
   }
 }
@@ -118,9 +118,9 @@
   return verdict;
 }
 
-bool CallPipeline::Settle(TimePoint now,
-                          CallId id,
-                          const FilterVerdict& verdict) {
+bool CallPipeline::ApplyVerdict(TimePoint now,
+                                CallId id,
+                                const FilterVerdict& verdict) {
   if (std::holds_alternative<HoldCall>(verdict))
     return false;
   if (const auto* ended = std::get_if<EndCall>(&verdict)) {
--- a/source/core/pipeline/call_pipeline.h
+++ b/source/core/pipeline/call_pipeline.h
@@ -80,7 +80,7 @@
   void RunFilters(TimePoint now, CallId id);
   FilterVerdict RunFilter(TimePoint now, Entry& entry);
   // Applies a verdict. Returns false if the call is held or has ended.
-  bool Settle(TimePoint now, CallId id, const FilterVerdict& verdict);
+  bool ApplyVerdict(TimePoint now, CallId id, const FilterVerdict& verdict);
 
   CallSink& m_sink;
   std::vector<std::unique_ptr<CallFilter>> m_filters;
--- a/source/core/pipeline/refusals.h
+++ b/source/core/pipeline/refusals.h
@@ -7,9 +7,9 @@
 
 namespace bulrushmount {
 
-// The target had no capacity in time. Other refusals do not indicate
-// load: the target is leaving or gone, or it sheds calls although its owner
-// keeps it below its limit.
+// The target had no capacity in time. Other refusals do not indicate load:
+// the target is leaving or gone, or it sheds calls although its owner keeps it
+// below its limit.
 inline bool IsCapacityRefusal(Reason reason) {
   switch (reason) {
     case Reason::kOverloaded:
--- a/source/unit_tests/core/pipeline/ask_budget_test.cc
+++ b/source/unit_tests/core/pipeline/ask_budget_test.cc
@@ -19,16 +19,16 @@
 const ServiceName kService("vault");
 constexpr std::size_t kNodes = 72;
 
-struct AskCase {
+struct AskBudgetCase {
   const char* name;
   std::size_t owners;
   int calls;
   int refusals;
   Duration age;
-  bool may_ask_more;
+  bool may_try_another;
 };
 
-class AskBudgetTest : public testing::TestWithParam<AskCase> {};
+class AskBudgetTest : public testing::TestWithParam<AskBudgetCase> {};
 
 TEST_P(AskBudgetTest, LimitsAttemptsWhenMostAreRefused) {
   AskBudget budget;
@@ -40,22 +40,23 @@
     budget.OnRefused(now, kService);
   EXPECT_EQ(budget.MayTryAnotherOwner(now + GetParam().age, kService,
                                       GetParam().owners),
-            GetParam().may_ask_more);
+            GetParam().may_try_another);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Loads,
     AskBudgetTest,
-    testing::Values(AskCase{"Nothing", 12, 0, 0, 0ms, true},
-                    AskCase{"OneCallAsksAFew", 12, 1, 3, 0ms, true},
-                    AskCase{"ThirdDisturbed", 12, 100, 50, 0ms, true},
-                    AskCase{"AllFull", 12, 100, 300, 0ms, false},
-                    AskCase{"FullAMomentAgo", 12, 100, 300, 100ms, false},
-                    AskCase{"FullLongAgo", 12, 100, 300, 5s, true},
-                    // The same refusals are allowed if there are many owners
-                    // per entry.
-                    AskCase{"FewCallsToManyOwners", 60, 10, 15, 0ms, true},
-                    AskCase{"FewCallsToFewOwners", 12, 10, 15, 0ms, false}),
+    testing::Values(
+        AskBudgetCase{"Nothing", 12, 0, 0, 0ms, true},
+        AskBudgetCase{"OneCallTriesAFew", 12, 1, 3, 0ms, true},
+        AskBudgetCase{"ThirdSlow", 12, 100, 50, 0ms, true},
+        AskBudgetCase{"AllFull", 12, 100, 300, 0ms, false},
+        AskBudgetCase{"FullAMomentAgo", 12, 100, 300, 100ms, false},
+        AskBudgetCase{"FullLongAgo", 12, 100, 300, 5s, true},
+        // The same refusals are allowed if there are many owners
+        // per entry.
+        AskBudgetCase{"FewCallsToManyOwners", 60, 10, 15, 0ms, true},
+        AskBudgetCase{"FewCallsToFewOwners", 12, 10, 15, 0ms, false}),
     [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
--- a/source/unit_tests/core/pipeline/nested_calls_test.cc
+++ b/source/unit_tests/core/pipeline/nested_calls_test.cc
@@ -43,7 +43,7 @@
     NestedCallsTest,
     testing::Values(NestedCase{"Nothing", 0, 0ms, false},
                     NestedCase{"ErrorsFollow", 10, 5ms, true},
-                    NestedCase{"TooFewToTell", 2, 5ms, false},
+                    NestedCase{"TooFewFailures", 2, 5ms, false},
                     NestedCase{"NoErrorFollows", 100, 0ms, false},
                     NestedCase{"ErrorsFollowLater", 100, 60ms, false}),
     [](const auto& info) { return std::string(info.param.name); });
--- a/source/unit_tests/core/pipeline/retry_detector_test.cc
+++ b/source/unit_tests/core/pipeline/retry_detector_test.cc
@@ -43,10 +43,10 @@
 INSTANTIATE_TEST_SUITE_P(
     Callers,
     RetryDetectorTest,
-    testing::Values(RetryCase{"New", {2000ms}, 2000ms, 0ms, 0ms},
-                    RetryCase{"Back", {2000ms}, 1600ms, 350ms, 400ms},
+    testing::Values(RetryCase{"FirstAttempt", {2000ms}, 2000ms, 0ms, 0ms},
+                    RetryCase{"Retry", {2000ms}, 1600ms, 350ms, 400ms},
                     // Timeouts of first attempts vary.
-                    RetryCase{"NewOfMany",
+                    RetryCase{"FirstAttemptOfMany",
                               {1990ms, 1720ms, 1810ms, 1900ms, 1760ms, 1960ms,
                                1860ms},
                               1730ms,
