--- a/source/core/node_logic/node.h
+++ b/source/core/node_logic/node.h
@@ -152,8 +152,8 @@
   EntrySide m_entry;
 
   std::uint64_t m_probes_sent = 0;
-  // Whether ConfigSync was notified if the member rows show enough peers to
-  // fetch the configuration from.
+  // Set once ConfigSync was notified whether peers are likely to exist, judging
+  // by the number of member rows.
   bool m_has_set_peer_expectation = false;
   bool m_was_table_available = true;
   // The evacuated zones that the router and the owner currently use.
--- a/source/unit_tests/core/node_logic/evacuation_test.cc
+++ b/source/unit_tests/core/node_logic/evacuation_test.cc
@@ -185,11 +185,11 @@
 // Guards against nodes that miss the change while they are disconnected.
 TEST_F(EvacuationTest, ADisconnectedNodeReceivesItAfterReconnecting) {
   constexpr std::size_t node = kZoneIndex;
-  m_fleet.CutGossip(node, true);
+  m_fleet.SetGossipLost(node, true);
   m_fleet.RefuseAtTable(node, true);
   m_fleet.SetEvacuated(kZone, true);
   m_fleet.Run(4s);
-  m_fleet.CutGossip(node, false);
+  m_fleet.SetGossipLost(node, false);
   m_fleet.RefuseAtTable(node, false);
   const TimePoint back = m_fleet.now();
   Load(6s);
@@ -302,7 +302,7 @@
   constexpr std::size_t node = kZoneIndex;
   m_fleet.SetEvacuated(kZone, true);
   m_fleet.Run(kInForce);
-  m_fleet.CutGossip(node, true);
+  m_fleet.SetGossipLost(node, true);
   m_fleet.RefuseAtTable(node, true);
   m_fleet.RestoreTable(copy);
   m_fleet.Run(2s);
@@ -310,7 +310,7 @@
   m_fleet.Run(2s);
   m_fleet.SetEvacuated("zone-2", true);
   m_fleet.Run(1s);
-  m_fleet.CutGossip(node, false);
+  m_fleet.SetGossipLost(node, false);
   m_fleet.RefuseAtTable(node, false);
   m_fleet.Run(5s);
   for (std::size_t other = 0; other < kNodes; ++other) {
--- a/source/unit_tests/core/node_logic/fleet.cc
+++ b/source/unit_tests/core/node_logic/fleet.cc
@@ -265,7 +265,7 @@
   node.has_exited = true;
   for (CallerView& call : m_calls) {
     if (call.entry == index && !call.outcome)
-      call.is_cut = true;
+      call.is_connection_closed = true;
   }
   // Its peers detect the closed connections.
   for (const auto& stream : m_streams) {
@@ -286,8 +286,8 @@
   node.target.runs.clear();
 }
 
-void Fleet::CutGossip(std::size_t index, bool is_cut) {
-  m_nodes[index]->is_gossip_cut = is_cut;
+void Fleet::SetGossipLost(std::size_t index, bool is_lost) {
+  m_nodes[index]->is_gossip_lost = is_lost;
 }
 
 void Fleet::RefuseAtTable(std::size_t index, bool is_refused) {
@@ -384,7 +384,7 @@
         head.workspace.value() + "/" + head.idempotency_key->value();
   }
   if (m_nodes[entry]->has_exited) {
-    m_calls.back().is_cut = true;
+    m_calls.back().is_connection_closed = true;
     return index;
   }
   Deliver(entry, CallArrived{CallId(index + 1), std::move(head)});
@@ -393,9 +393,9 @@
 
 void Fleet::Abandon(std::size_t call) {
   CallerView& view = m_calls[call];
-  if (view.outcome || view.is_cut)
+  if (view.outcome || view.is_connection_closed)
     return;
-  view.is_cut = true;
+  view.is_connection_closed = true;
   Deliver(view.entry, CallerDisconnected{CallId(call + 1)});
 }
 
--- a/source/unit_tests/core/node_logic/fleet.h
+++ b/source/unit_tests/core/node_logic/fleet.h
@@ -37,8 +37,9 @@
   // Status of the answer; 0 without one.
   int status = 0;
   TimePoint answered_at;
-  // The entry was killed, so the connection of the caller was closed.
-  bool is_cut = false;
+  // The connection of the caller was closed without a complete answer: the
+  // entry was killed or ended the answer early, or the caller gave up.
+  bool is_connection_closed = false;
 };
 
 // Targets that are cold after a start and crash above a request rate during
@@ -118,7 +119,7 @@
   // third of a second.
   void RestartAll(Duration down);
   // Drops all datagrams from and to the node.
-  void CutGossip(std::size_t node, bool is_cut);
+  void SetGossipLost(std::size_t node, bool is_lost);
   FakeTableService& table() { return m_table; }
   // The table refuses all requests of the node.
   void RefuseAtTable(std::size_t node, bool is_refused);
--- a/source/unit_tests/core/node_logic/fleet_actions.cc
+++ b/source/unit_tests/core/node_logic/fleet_actions.cc
@@ -118,12 +118,12 @@
 }
 
 void Fleet::Do(std::size_t node, const BreakAnswer& action) {
-  m_calls.at(action.call.value() - 1).is_cut = true;
+  m_calls.at(action.call.value() - 1).is_connection_closed = true;
 }
 
 void Fleet::Answer(CallId id, Outcome outcome, Reason reason) {
   CallerView& call = m_calls.at(id.value() - 1);
-  if (call.is_cut)
+  if (call.is_connection_closed)
     return;
   call.outcome = outcome;
   call.reason = reason;
@@ -267,13 +267,13 @@
 
 void Fleet::Do(std::size_t node, const SendDatagram& action) {
   const std::optional<std::size_t> to = FindNode(action.to);
-  if (!to || m_nodes[node]->is_gossip_cut || m_nodes[*to]->is_gossip_cut)
+  if (!to || m_nodes[node]->is_gossip_lost || m_nodes[*to]->is_gossip_lost)
     return;
   const std::uint64_t life = m_nodes[*to]->life;
   const DatagramArrived arrived{m_nodes[node]->settings.gossip_endpoint,
                                 action.bytes};
   m_time.After(kNetworkDelay, [this, to, life, arrived] {
-    if (m_nodes[*to]->life == life && !m_nodes[*to]->is_gossip_cut)
+    if (m_nodes[*to]->life == life && !m_nodes[*to]->is_gossip_lost)
       Deliver(*to, arrived);
   });
 }
--- a/source/unit_tests/core/node_logic/fleet_parts.h
+++ b/source/unit_tests/core/node_logic/fleet_parts.h
@@ -50,7 +50,7 @@
   bool is_frozen = false;
   bool was_frozen = false;
   bool has_exited = false;
-  bool is_gossip_cut = false;
+  bool is_gossip_lost = false;
   bool is_refused_at_table = false;
   // Last result of NodeLogic::NextWakeup, which changes only with events.
   TimePoint next_wakeup;
--- a/source/unit_tests/core/node_logic/node_logic_test.cc
+++ b/source/unit_tests/core/node_logic/node_logic_test.cc
@@ -136,7 +136,7 @@
 
 // The outcome reported to a caller must agree with the recorded runs of the
 // targets.
-void CheckTruth(const Fleet& fleet, const CallerView& call) {
+void CheckReportedOutcome(const Fleet& fleet, const CallerView& call) {
   const std::size_t runs = fleet.RunsOf(call.request_id);
   if (call.outcome == Outcome::kNotRun)
     RC_ASSERT(runs == 0U);
@@ -148,10 +148,10 @@
   }
 }
 
-// Every call whose entry was neither killed nor frozen gets its final answer in
-// time.
-void CheckTime(const Fleet& fleet, const CallerView& call) {
-  if (call.is_cut || fleet.WasEverFrozen(call.entry))
+// Every call whose connection stays open and whose entry was never frozen gets
+// its final answer in time.
+void CheckAnswerTime(const Fleet& fleet, const CallerView& call) {
+  if (call.is_connection_closed || fleet.WasEverFrozen(call.entry))
     return;
   RC_ASSERT(call.outcome.has_value());
   RC_ASSERT(call.answered_at <= call.sent_at + kDeadline + kMargin);
@@ -228,7 +228,7 @@
   return head;
 }
 
-void Take(Fleet& fleet, const Step& step) {
+void ApplyStep(Fleet& fleet, const Step& step) {
   constexpr std::array faults = {TableFault::kNone, TableFault::kDown,
                                  TableFault::kSilent, TableFault::kAnswerLost};
   constexpr std::size_t most_actions = 6;
@@ -256,10 +256,10 @@
       fleet.CrashTarget(step.node);
       break;
     case Step::Kind::kCut:
-      fleet.CutGossip(step.node, true);
+      fleet.SetGossipLost(step.node, true);
       break;
     case Step::Kind::kHeal:
-      fleet.CutGossip(step.node, false);
+      fleet.SetGossipLost(step.node, false);
       break;
     case Step::Kind::kTable:
       fleet.table().SetFault(faults.at(step.detail % faults.size()));
@@ -275,10 +275,10 @@
   fleet.Run(step.pause);
 }
 
-void Mend(Fleet& fleet) {
+void EndAllFaults(Fleet& fleet) {
   fleet.table().SetFault(TableFault::kNone);
   for (std::size_t node = 0; node < fleet.size(); ++node) {
-    fleet.CutGossip(node, false);
+    fleet.SetGossipLost(node, false);
     fleet.Resume(node);
   }
 }
@@ -287,8 +287,8 @@
                                   const std::vector<Step>& steps) {
   auto fleet = NodeLogicTest::MakeFleet(kNodes, seed);
   for (const Step& step : steps)
-    Take(*fleet, step);
-  Mend(*fleet);
+    ApplyStep(*fleet, step);
+  EndAllFaults(*fleet);
   fleet->Run(std::chrono::seconds(3));
   return fleet;
 }
@@ -301,8 +301,8 @@
   const auto steps = *rc::gen::container<std::vector<Step>>(AnyStep());
   const auto fleet = RunHistory(seed, steps);
   for (const CallerView& call : fleet->calls()) {
-    CheckTruth(*fleet, call);
-    CheckTime(*fleet, call);
+    CheckReportedOutcome(*fleet, call);
+    CheckAnswerTime(*fleet, call);
   }
   CheckProbes(*fleet);
 }
@@ -330,7 +330,7 @@
 TEST_F(NodeLogicTest, PoisonCrashesABoundedNumberOfTargets) {
   constexpr std::size_t repeats = 30;
   // Runs in progress at the first crash, and one run with a permit.
-  constexpr std::size_t most_crashes = kNodes + 1;
+  constexpr std::size_t max_crashes = kNodes + 1;
   const auto fleet = MakeFleet(kNodes, 4);
   for (std::size_t repeat = 0; repeat < repeats; ++repeat) {
     for (std::size_t entry = 0; entry < kNodes; ++entry) {
@@ -341,7 +341,7 @@
   }
   RecordProperty("crashes", static_cast<int>(fleet->crashes()));
   EXPECT_GE(fleet->crashes(), 1U);
-  EXPECT_LE(fleet->crashes(), most_crashes);
+  EXPECT_LE(fleet->crashes(), max_crashes);
 }
 
 // Failure: a harmless request that ran concurrently with a crashing one gets a
@@ -364,11 +364,11 @@
   fleet->Run(std::chrono::seconds(3));
 
   const std::size_t first = send("GET");
-  const std::size_t racing = send("GET");
+  const std::size_t concurrent = send("GET");
   fleet->Run(std::chrono::seconds(1));
   EXPECT_EQ(fleet->calls()[first].outcome, Outcome::kAnswered);
-  EXPECT_EQ(fleet->calls()[racing].outcome, Outcome::kNotRun);
-  EXPECT_EQ(fleet->calls()[racing].reason, Reason::kSuspect);
+  EXPECT_EQ(fleet->calls()[concurrent].outcome, Outcome::kNotRun);
+  EXPECT_EQ(fleet->calls()[concurrent].reason, Reason::kSuspect);
 
   send(Fleet::kPoisonMethod);
   fleet->Run(std::chrono::seconds(3));
@@ -384,7 +384,7 @@
 TEST_F(NodeLogicTest, WithdrawnTargetGetsNoNewWork) {
   const auto fleet = MakeFleet(kNodes, 5);
   for (std::size_t node = 0; node < kNodes; ++node)
-    fleet->CutGossip(node, true);
+    fleet->SetGossipLost(node, true);
   fleet->WithdrawTarget(1);
   const TimePoint withdrawn_at = fleet->now();
   for (int round = 0; round < 50; ++round) {
--- a/source/unit_tests/core/node_logic/routed_node_test.cc
+++ b/source/unit_tests/core/node_logic/routed_node_test.cc
@@ -97,9 +97,9 @@
     }
     TableReply reply;
     reply.status =
-        m_is_table_away ? TableStatus::kUnavailable : TableStatus::kOk;
+        m_is_table_unavailable ? TableStatus::kUnavailable : TableStatus::kOk;
     const auto* const scan = std::get_if<TableScan>(&request.body);
-    if (scan && scan->prefix == kOperatorRowPrefix && !m_is_table_away)
+    if (scan && scan->prefix == kOperatorRowPrefix && !m_is_table_unavailable)
       reply.rows = {{kOperatorDocumentRow, m_document, RowVersion(9)}};
     Deliver(TableReplied{request.request, std::move(reply)});
   }
@@ -197,7 +197,7 @@
   SeededRandomSource m_random{3};
   NumberDecoder m_decoder;
   std::string m_document = "5";
-  bool m_is_table_away = false;
+  bool m_is_table_unavailable = false;
   std::optional<TableRequestId> m_watch;
   std::uint64_t m_row_version = 9;
   NodeLogic m_logic;
@@ -207,14 +207,14 @@
 };
 
 TEST_F(RoutedNodeTest, RefusesTemporarilyUntilTheRoutesAreKnown) {
-  m_is_table_away = true;
+  m_is_table_unavailable = true;
   Advance(3s);
   EXPECT_FALSE(m_logic.IsReady());
   Call("/read/1");
   auto answer = Next<AnswerCaller>();
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->reason, Reason::kConfigurationUnknown);
-  m_is_table_away = false;
+  m_is_table_unavailable = false;
   // The table is available again: two seconds, and the jitter of one read.
   Advance(3s);
   EXPECT_TRUE(m_logic.IsReady());
@@ -329,11 +329,11 @@
 // target.
 TEST_F(RoutedNodeTest, ATargetOfAnUnknownServiceReplacesNoTarget) {
   Start();
-  TargetHeartbeat stranger = Heartbeat("i-9", 1);
-  stranger.service = ServiceName("unheard-of");
-  Deliver(stranger);
-  ++stranger.sequence;
-  Deliver(stranger);
+  TargetHeartbeat unknown_target = Heartbeat("i-9", 1);
+  unknown_target.service = ServiceName("unheard-of");
+  Deliver(unknown_target);
+  ++unknown_target.sequence;
+  Deliver(unknown_target);
   Call("/read/1");
   ASSERT_TRUE(Arrive());
   EXPECT_TRUE(Next<HandToTarget>());
@@ -342,11 +342,11 @@
 // Rejected reports are counted and have no other effect.
 TEST_F(RoutedNodeTest, RejectedReportsAreCounted) {
   Start();
-  TargetHeartbeat stranger = Heartbeat("i-9", 1);
-  stranger.service = ServiceName("unheard-of");
+  TargetHeartbeat unknown_target = Heartbeat("i-9", 1);
+  unknown_target.service = ServiceName("unheard-of");
   for (int report = 0; report < 3; ++report)
     Deliver(TargetReportRefused{InstanceId("i-1"), "slots: above 0"});
-  Deliver(stranger);
+  Deliver(unknown_target);
   const std::string page = m_logic.MetricsText(m_now);
   EXPECT_NE(page.find(R"(refused_reports_total{reason="unreadable"} 3)"),
             std::string::npos);
