--- a/source/core/node_logic/actions.h
+++ b/source/core/node_logic/actions.h
@@ -65,7 +65,7 @@
 };
 
 // Ends a relayed answer in a way that shows the caller that it is incomplete.
-struct BreakAnswer {
+struct AbortAnswer {
   CallId call;
 };
 
@@ -160,7 +160,7 @@
                                 RelayAnswer,
                                 AnswerCaller,
                                 ReplayAnswer,
-                                BreakAnswer,
+                                AbortAnswer,
                                 HandToTarget,
                                 UseTarget,
                                 RefuseWork,
--- a/source/core/node_logic/entry_side.cc
+++ b/source/core/node_logic/entry_side.cc
@@ -145,7 +145,7 @@
   if (end.outcome == Outcome::kAnswered || call.is_caller_disconnected)
     return;
   if (call.answer_begun_at)
-    m_parts.actions.Push(BreakAnswer{call.id});
+    m_parts.actions.Push(AbortAnswer{call.id});
   else
     m_parts.actions.Push(AnswerCaller{call.id, end.outcome, end.reason,
                                       RetryAfterFor(end.reason)});
--- a/source/core/transport/callers/entry_calls.cc
+++ b/source/core/transport/callers/entry_calls.cc
@@ -201,7 +201,7 @@
   }
   if (call->pump && call->relayed == action.attempt) {
     // The answer that is being relayed can no longer be completed.
-    Do(BreakAnswer{action.call});
+    Do(AbortAnswer{action.call});
     return;
   }
   // Removed from the map first, because ending it may re-enter this function.
@@ -251,7 +251,7 @@
     m_events.Emit(AttemptLost{id, number, false, Reason::kNodeLost});
     // Independent of what the logic decided: an incomplete answer must not
     // appear complete to the caller.
-    Do(BreakAnswer{id});
+    Do(AbortAnswer{id});
     return;
   }
   Call& call = *Find(id);
@@ -272,7 +272,7 @@
   }
   if (call->pump) {
     // A second head inside an answer would be taken for a part of its body.
-    Do(BreakAnswer{action.call});
+    Do(AbortAnswer{action.call});
     return;
   }
   const auto exchange = call->exchange;
@@ -299,7 +299,7 @@
   exchange->Answer(std::move(head), action.body);
 }
 
-void EntryCalls::Do(const BreakAnswer& action) {
+void EntryCalls::Do(const AbortAnswer& action) {
   Call* const call = Find(action.call);
   if (!call) {
     return;
@@ -325,7 +325,7 @@
   }
   for (const CallId id : stalled) {
     m_events.Emit(AnswerStalled{id});
-    Do(BreakAnswer{id});
+    Do(AbortAnswer{id});
   }
 }
 
--- a/source/core/transport/callers/entry_calls.h
+++ b/source/core/transport/callers/entry_calls.h
@@ -48,7 +48,7 @@
   void Do(const RelayAnswer& action);
   void Do(const AnswerCaller& action);
   void Do(const ReplayAnswer& action);
-  void Do(const BreakAnswer& action);
+  void Do(const AbortAnswer& action);
 
   // Reports and aborts the answers that have transferred no byte for `limit`.
   // To be called periodically.
--- a/source/unit_tests/core/node_logic/event_script.cc
+++ b/source/unit_tests/core/node_logic/event_script.cc
@@ -410,7 +410,7 @@
   EndCall(action.call, false, false);
 }
 
-void EventScript::On(const BreakAnswer& action) {
+void EventScript::On(const AbortAnswer& action) {
   EndCall(action.call, true, true);
 }
 
--- a/source/unit_tests/core/node_logic/event_script.h
+++ b/source/unit_tests/core/node_logic/event_script.h
@@ -68,7 +68,7 @@
   void On(const RelayAnswer& action);
   void On(const AnswerCaller& action);
   void On(const ReplayAnswer& action);
-  void On(const BreakAnswer& action);
+  void On(const AbortAnswer& action);
   void On(const HandToTarget& action);
   void On(const RefuseWork& action) { EndWork(action.work); }
   void On(const RelayWork& action);
--- a/source/unit_tests/core/node_logic/fleet.h
+++ b/source/unit_tests/core/node_logic/fleet.h
@@ -192,7 +192,7 @@
   void Do(std::size_t node, const RelayAnswer& action);
   void Do(std::size_t node, const AnswerCaller& action);
   void Do(std::size_t node, const ReplayAnswer& action);
-  void Do(std::size_t node, const BreakAnswer& action);
+  void Do(std::size_t node, const AbortAnswer& action);
   void Do(std::size_t node, const HandToTarget& action);
   void Do(std::size_t node, const RefuseWork& action);
   void Do(std::size_t node, const RelayWork& action);
--- a/source/unit_tests/core/node_logic/fleet_actions.cc
+++ b/source/unit_tests/core/node_logic/fleet_actions.cc
@@ -117,7 +117,7 @@
   Answer(action.call, Outcome::kAnswered, Reason::kNone);
 }
 
-void Fleet::Do(std::size_t node, const BreakAnswer& action) {
+void Fleet::Do(std::size_t node, const AbortAnswer& action) {
   m_calls.at(action.call.value() - 1).is_connection_closed = true;
 }
 
--- a/source/unit_tests/core/transport/transport_test_support.cc
+++ b/source/unit_tests/core/transport/transport_test_support.cc
@@ -139,7 +139,7 @@
   const bool is_begun = call->second;
   m_calls.erase(call);
   if (is_begun) {
-    return {BreakAnswer{lost.call}};
+    return {AbortAnswer{lost.call}};
   }
   return {AnswerCaller{
       lost.call,
