--- a/source/unit_tests/core/node_logic/fleet.h
+++ b/source/unit_tests/core/node_logic/fleet.h
@@ -210,7 +210,7 @@
   void AddWatch(std::size_t node, const SubmitTableRequest& action);
   void WriteRows(const TableTransact& rows);
   void AnswerWatch(const OpenWatch& watch);
-  void AnswerTable(const OpenWatch& asker, const TableReply& reply);
+  void AnswerTable(const OpenWatch& watch, const TableReply& reply);
 
   void Answer(CallId call, Outcome outcome, Reason reason);
   void FinishRun(std::size_t node,
--- a/source/unit_tests/core/node_logic/fleet_actions.cc
+++ b/source/unit_tests/core/node_logic/fleet_actions.cc
@@ -327,10 +327,10 @@
   AnswerTable(watch, m_table.table().Apply(watch.watch));
 }
 
-void Fleet::AnswerTable(const OpenWatch& asker, const TableReply& reply) {
-  m_time.After(kTableDelay, [this, asker, reply] {
-    if (m_nodes[asker.node]->life == asker.life)
-      Deliver(asker.node, TableReplied{asker.request, reply});
+void Fleet::AnswerTable(const OpenWatch& watch, const TableReply& reply) {
+  m_time.After(kTableDelay, [this, watch, reply] {
+    if (m_nodes[watch.node]->life == watch.life)
+      Deliver(watch.node, TableReplied{watch.request, reply});
   });
 }
 
--- a/source/unit_tests/core/pipeline/dispatcher_test.cc
+++ b/source/unit_tests/core/pipeline/dispatcher_test.cc
@@ -52,7 +52,7 @@
   std::map<NodeId, Member> m_members;
 };
 
-class KeptActions : public ActionSink {
+class RecordedActions : public ActionSink {
  public:
   void Push(NodeAction action) override {
     actions.push_back(std::move(action));
@@ -142,7 +142,7 @@
   TimePoint m_now{10s};
   SeededRandomSource m_random{1};
   NoTable m_table;
-  KeptActions m_actions;
+  RecordedActions m_actions;
   Owners m_owners;
   Router m_router;
   FleetRetryBudget m_retries;
