--- a/source/core/node_logic/node_settings.h
+++ b/source/core/node_logic/node_settings.h
@@ -78,7 +78,7 @@
   // A target that answers with errors or sheds stays in service at its owner,
   // because only entries can compare it with its peers. If false, the owner
   // decides alone.
-  bool do_entries_judge_errors = false;
+  bool do_entries_evaluate_errors = false;
 
   // Only attempts that were handed to a target count against the retry budget,
   // since a refusal by an owner costs its target nothing.
--- a/source/core/node_logic/owner_policies.cc
+++ b/source/core/node_logic/owner_policies.cc
@@ -56,7 +56,7 @@
 TargetLifecycleSettings LifeSettingsOf(const NodeSettings& settings) {
   TargetLifecycleSettings life;
   life.warmup = settings.warmup;
-  if (settings.do_entries_judge_errors) {
+  if (settings.do_entries_evaluate_errors) {
     life.thresholds = OnlyRefusedConnections();
     life.shortest_suspicion = kMinDowntime;
     life.longest_suspicion = kMaxDowntime;
--- a/source/unit_tests/core/node_logic/cold_fleet_test.cc
+++ b/source/unit_tests/core/node_logic/cold_fleet_test.cc
@@ -83,7 +83,7 @@
     options.cold->crash_above = kMaxColdRequestsPerSecond;
     options.settings.has_route_document = true;
     options.settings.needs_crash_to_suspect = true;
-    options.settings.do_entries_judge_errors = true;
+    options.settings.do_entries_evaluate_errors = true;
     options.settings.refusals_cost_no_retry = true;
     options.settings.selective_attempts = 4;
     options.settings.max_attempts = 6;
--- a/source/unit_tests/core/node_logic/evacuation_test.cc
+++ b/source/unit_tests/core/node_logic/evacuation_test.cc
@@ -68,7 +68,7 @@
     options.document = "1";
     options.settings.has_route_document = true;
     options.settings.refusals_cost_no_retry = true;
-    options.settings.do_entries_judge_errors = true;
+    options.settings.do_entries_evaluate_errors = true;
     options.settings.directory_interval = std::chrono::minutes(10);
     return options;
   }
--- a/source/unit_tests/core/node_logic/nested_overload_test.cc
+++ b/source/unit_tests/core/node_logic/nested_overload_test.cc
@@ -83,7 +83,7 @@
   NodeSettings settings;
   settings.has_route_document = true;
   settings.needs_crash_to_suspect = true;
-  settings.do_entries_judge_errors = true;
+  settings.do_entries_evaluate_errors = true;
   settings.refusals_cost_no_retry = true;
   settings.selective_attempts = 4;
   settings.max_attempts = 6;
--- a/source/unit_tests/core/node_logic/routed_node_test.cc
+++ b/source/unit_tests/core/node_logic/routed_node_test.cc
@@ -68,7 +68,7 @@
     settings.gossip_endpoint = {"127.0.0.1", 7001};
     settings.has_route_document = true;
     settings.needs_crash_to_suspect = true;
-    settings.do_entries_judge_errors = true;
+    settings.do_entries_evaluate_errors = true;
     settings.refusals_cost_no_retry = true;
     settings.selective_attempts = 4;
     settings.max_attempts = 8;
--- a/source/unit_tests/core/node_logic/store_calls_test.cc
+++ b/source/unit_tests/core/node_logic/store_calls_test.cc
@@ -83,7 +83,7 @@
     options.settings.is_first_start = true;
     options.settings.is_first_start = true;
     options.settings.needs_crash_to_suspect = true;
-    options.settings.do_entries_judge_errors = true;
+    options.settings.do_entries_evaluate_errors = true;
     options.settings.directory_interval = std::chrono::minutes(10);
     return options;
   }
