--- a/source/unit_tests/core/transport/node_driver_test.cc
+++ b/source/unit_tests/core/transport/node_driver_test.cc
@@ -137,7 +137,7 @@
 TEST_F(NodeDriverTest, StalledAnswerIsAborted) {
   DriverSettings settings = LoopbackSettings(3);
   settings.min_progress_time = std::chrono::milliseconds(100);
-  RelayBrain brain;
+  RelayNodeLogic brain;
   NodeDriver quick(context, settings, brain, entry.table, entry.random);
   ASSERT_TRUE(quick.Start());
   StartTarget([](RawPeer& peer) {
--- a/source/unit_tests/core/transport/transport_test_support.cc
+++ b/source/unit_tests/core/transport/transport_test_support.cc
@@ -131,7 +131,7 @@
   };
 }
 
-std::vector<NodeAction> RelayBrain::OnLost(const AttemptLost& lost) {
+std::vector<NodeAction> RelayNodeLogic::OnLost(const AttemptLost& lost) {
   const auto call = m_calls.find(lost.call);
   if (call == m_calls.end()) {
     return {};
@@ -147,14 +147,14 @@
       lost.reason}};
 }
 
-std::vector<NodeAction> RelayBrain::ExitIfDone() {
+std::vector<NodeAction> RelayNodeLogic::ExitIfDone() {
   if (m_is_shutting_down && m_calls.empty() && m_works.empty()) {
     return {ExitProcess{}};
   }
   return {};
 }
 
-std::vector<NodeAction> RelayBrain::Handle(TimePoint, NodeEvent event) {
+std::vector<NodeAction> RelayNodeLogic::Handle(TimePoint, NodeEvent event) {
   events.push_back(event);
   if (const auto* call = std::get_if<CallArrived>(&event)) {
     m_calls[call->call] = false;
--- a/source/unit_tests/core/transport/transport_test_support.h
+++ b/source/unit_tests/core/transport/transport_test_support.h
@@ -98,7 +98,7 @@
 RawTarget::OnBytes Always(std::string answer);
 
 // Sends every call to one owner, accepts every work, and records the events.
-class RelayBrain : public NodeLogicInterface {
+class RelayNodeLogic : public NodeLogicInterface {
  public:
   std::vector<NodeAction> Handle(TimePoint now, NodeEvent event) override;
   TimePoint NextWakeup() const override { return TimePoint::max(); }
@@ -163,7 +163,7 @@
   void Announce(const Endpoint& target);
 
   SeededRandomSource random;
-  RelayBrain brain;
+  RelayNodeLogic brain;
   UnavailableTable table;
   DriverSettings settings;
   NodeDriver driver;
