--- a/source/core/transport/callers/entry_calls.cc
+++ b/source/core/transport/callers/entry_calls.cc
@@ -108,7 +108,7 @@
                        const CallerDialect& dialect)
     : m_executor(std::move(executor)),
       m_self(self),
-      m_brain(brain),
+      m_logic(brain),
       m_client(client),
       m_own_works(own_works),
       m_events(events),
--- a/source/core/transport/callers/entry_calls.h
+++ b/source/core/transport/callers/entry_calls.h
@@ -39,7 +39,7 @@
   void OnCall(std::shared_ptr<CallerExchange> exchange) override;
   void OnCallerDisconnected(const CallerExchange& exchange) override;
   bool IsRepeatable(const CallHead& head) const override {
-    return m_brain.IsRepeatable(head);
+    return m_logic.IsRepeatable(head);
   }
 
   // An action for a call that has ended has no effect.
@@ -68,7 +68,7 @@
 
   boost::asio::any_io_executor m_executor;
   NodeId m_self;
-  const NodeLogicInterface& m_brain;
+  const NodeLogicInterface& m_logic;
   NodeStreamClient& m_client;
   WorkAcceptor& m_own_works;
   EventSink& m_events;
--- a/source/core/transport/node_driver.cc
+++ b/source/core/transport/node_driver.cc
@@ -28,7 +28,7 @@
                        RandomSource& random)
     : m_context(context),
       m_settings(settings),
-      m_brain(brain),
+      m_logic(brain),
       m_table(table),
       m_client(context.get_executor()),
       m_target(context.get_executor(), *settings.target_dialect),
@@ -36,7 +36,7 @@
       m_controls(m_works),
       m_calls(context.get_executor(),
               settings.id,
-              m_brain,
+              m_logic,
               m_client,
               m_works,
               *this,
@@ -100,7 +100,7 @@
   reply.body = fmt::format(
       "{{\"node\":\"{}\",\"ready\":{},\"shutting_down\":{},\"calls\":{},"
       "\"works\":{}}}\n",
-      m_settings.id, m_brain.IsReady(), m_is_shutting_down, m_calls.size(),
+      m_settings.id, m_logic.IsReady(), m_is_shutting_down, m_calls.size(),
       m_works.size());
   return reply;
 }
@@ -138,7 +138,7 @@
     m_target.SetEndpoint(announced->endpoint);
   }
   const std::vector<NodeAction> actions =
-      m_brain.Handle(Now(), std::move(event));
+      m_logic.Handle(Now(), std::move(event));
   for (const NodeAction& action : actions) {
     std::visit([this](const auto& one) { CarryOut(one); }, action);
   }
@@ -172,7 +172,7 @@
 }
 
 void NodeDriver::ArmTimer() {
-  const TimePoint wakeup = m_brain.NextWakeup();
+  const TimePoint wakeup = m_logic.NextWakeup();
   if (wakeup == m_armed_wakeup || m_has_ended) {
     return;
   }
--- a/source/core/transport/node_driver.h
+++ b/source/core/transport/node_driver.h
@@ -91,7 +91,7 @@
   ControlRequestHandler& controls() { return m_controls; }
   NodeStreamClient& client() { return m_client; }
 
-  bool IsReady() const { return m_brain.IsReady() && !m_is_shutting_down; }
+  bool IsReady() const { return m_logic.IsReady() && !m_is_shutting_down; }
 
   Endpoint caller_endpoint() const { return m_callers.endpoint(); }
   Endpoint stream_endpoint() const { return m_streams.endpoint(); }
@@ -126,7 +126,7 @@
 
   boost::asio::io_context& m_context;
   DriverSettings m_settings;
-  NodeLogicInterface& m_brain;
+  NodeLogicInterface& m_logic;
   TableService& m_table;
 
   // Events emitted while actions were being carried out.
