--- a/source/core/transport/callers/entry_calls.cc
+++ b/source/core/transport/callers/entry_calls.cc
@@ -101,14 +101,14 @@
 
 EntryCalls::EntryCalls(boost::asio::any_io_executor executor,
                        NodeId self,
-                       const NodeLogicInterface& brain,
+                       const NodeLogicInterface& logic,
                        NodeStreamClient& client,
                        WorkAcceptor& own_works,
                        EventSink& events,
                        const CallerDialect& dialect)
     : m_executor(std::move(executor)),
       m_self(self),
-      m_logic(brain),
+      m_logic(logic),
       m_client(client),
       m_own_works(own_works),
       m_events(events),
--- a/source/core/transport/callers/entry_calls.h
+++ b/source/core/transport/callers/entry_calls.h
@@ -26,7 +26,7 @@
   // All must outlive the object.
   EntryCalls(boost::asio::any_io_executor executor,
              NodeId self,
-             const NodeLogicInterface& brain,
+             const NodeLogicInterface& logic,
              NodeStreamClient& client,
              WorkAcceptor& own_works,
              EventSink& events,
--- a/source/core/transport/node_driver.cc
+++ b/source/core/transport/node_driver.cc
@@ -23,12 +23,12 @@
 
 NodeDriver::NodeDriver(boost::asio::io_context& context,
                        const DriverSettings& settings,
-                       NodeLogicInterface& brain,
+                       NodeLogicInterface& logic,
                        TableService& table,
                        RandomSource& random)
     : m_context(context),
       m_settings(settings),
-      m_logic(brain),
+      m_logic(logic),
       m_table(table),
       m_client(context.get_executor()),
       m_target(context.get_executor(), *settings.target_dialect),
--- a/source/core/transport/node_driver.h
+++ b/source/core/transport/node_driver.h
@@ -64,7 +64,7 @@
   // All must outlive the driver.
   NodeDriver(boost::asio::io_context& context,
              const DriverSettings& settings,
-             NodeLogicInterface& brain,
+             NodeLogicInterface& logic,
              TableService& table,
              RandomSource& random);
   ~NodeDriver() override;
--- a/source/unit_tests/core/transport/node_driver_test.cc
+++ b/source/unit_tests/core/transport/node_driver_test.cc
@@ -137,19 +137,19 @@
 TEST_F(NodeDriverTest, StalledAnswerIsAborted) {
   DriverSettings settings = LoopbackSettings(3);
   settings.min_progress_time = std::chrono::milliseconds(100);
-  RelayNodeLogic brain;
-  NodeDriver quick(context, settings, brain, entry.table, entry.random);
+  RelayNodeLogic logic;
+  NodeDriver quick(context, settings, logic, entry.table, entry.random);
   ASSERT_TRUE(quick.Start());
   StartTarget([](RawPeer& peer) {
     peer.received().clear();
     peer.Send("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhello");
   });
-  brain.owner = owner.settings.id;
-  brain.owner_endpoint = owner.driver.stream_endpoint();
+  logic.owner = owner.settings.id;
+  logic.owner_endpoint = owner.driver.stream_endpoint();
   caller = RawPeer::Connect(context, quick.caller_endpoint());
   caller->Send(Get("/a"));
   ASSERT_TRUE(RunUntil(context, [this] { return caller->is_at_end(); }));
-  EXPECT_EQ(brain.Count<AnswerStalled>(), 1U);
+  EXPECT_EQ(logic.Count<AnswerStalled>(), 1U);
   EXPECT_TRUE(
       RunUntil(context, [this] { return target->peer(0).is_at_end(); }));
 }
@@ -160,9 +160,9 @@
   ASSERT_TRUE(socket.Open({"127.0.0.1", 0}));
   socket.Send(owner.driver.gossip_endpoint(), std::string(1200, 'g'));
   ASSERT_TRUE(RunUntil(
-      context, [this] { return owner.brain.Count<DatagramArrived>() == 1; }));
-  EXPECT_EQ(owner.brain.Last<DatagramArrived>()->bytes, std::string(1200, 'g'));
-  EXPECT_EQ(owner.brain.Last<DatagramArrived>()->from, socket.endpoint());
+      context, [this] { return owner.logic.Count<DatagramArrived>() == 1; }));
+  EXPECT_EQ(owner.logic.Last<DatagramArrived>()->bytes, std::string(1200, 'g'));
+  EXPECT_EQ(owner.logic.Last<DatagramArrived>()->from, socket.endpoint());
 }
 
 struct ControlCase {
--- a/source/unit_tests/core/transport/relay_test.cc
+++ b/source/unit_tests/core/transport/relay_test.cc
@@ -69,8 +69,8 @@
   EXPECT_NE(caller->received().find("Bulrushmount-Request-Id: "),
             std::string::npos);
   EXPECT_TRUE(RunUntil(*loop, [this] {
-    return first().brain.Count<AttemptAnswerEnded>() == 1 &&
-           owner->brain.Count<TargetAnswerEnded>() == 1;
+    return first().logic.Count<AttemptAnswerEnded>() == 1 &&
+           owner->logic.Count<TargetAnswerEnded>() == 1;
   }));
 }
 
@@ -135,8 +135,8 @@
     const std::string& got = caller->received();
     EXPECT_EQ(got.find("\r\n0\r\n\r\n"), std::string::npos);
     EXPECT_FALSE(got.ends_with("Content-Length: 5\r\n\r\nstart"));
-    EXPECT_EQ(owner->brain.Count<TargetAnswerEnded>(), 0U);
-    EXPECT_EQ(first().brain.Count<AttemptAnswerEnded>(), 0U);
+    EXPECT_EQ(owner->logic.Count<TargetAnswerEnded>(), 0U);
+    EXPECT_EQ(first().logic.Count<AttemptAnswerEnded>(), 0U);
   }
 }
 
@@ -188,15 +188,15 @@
   ASSERT_TRUE(RunUntilReceived("connect-failed"));
   EXPECT_NE(caller->received().find("not-run"), std::string::npos);
   EXPECT_NE(caller->received().find("Retry-After: 1\r\n"), std::string::npos);
-  EXPECT_EQ(owner->brain.Count<TargetConnectFailed>(), 1U);
+  EXPECT_EQ(owner->logic.Count<TargetConnectFailed>(), 1U);
 }
 
 TEST_P(RelayTest, RefusalCarriesItsReason) {
   StartNodes(Always(kHello));
-  owner->brain.refuse_with = Reason::kOverloaded;
+  owner->logic.refuse_with = Reason::kOverloaded;
   caller->Send(Get("/a"));
   ASSERT_TRUE(RunUntilReceived("Bulrushmount-Reason: overloaded"));
-  EXPECT_EQ(first().brain.Last<AttemptRefused>()->reason, Reason::kOverloaded);
+  EXPECT_EQ(first().logic.Last<AttemptRefused>()->reason, Reason::kOverloaded);
   EXPECT_EQ(target->connections(), 0U);
 }
 
@@ -205,7 +205,7 @@
   caller->Send(Get("/a"));
   ASSERT_TRUE(RunUntilReceived("hello"));
   const LoadReport told{3, 2, 12, std::chrono::milliseconds(4)};
-  EXPECT_EQ(first().brain.Last<AttemptAnswerBegun>()->load, told);
+  EXPECT_EQ(first().logic.Last<AttemptAnswerBegun>()->load, told);
 }
 
 struct Bodiless {
@@ -274,7 +274,7 @@
   EXPECT_EQ(got.find("not-run"), std::string::npos);
   EXPECT_EQ(got.find(": 1\r\n"), std::string::npos);
   EXPECT_NE(got.find("Bulrushmount-Request-Id: r-1\r\n"), std::string::npos);
-  const CallHead& head = first().brain.Last<CallArrived>()->head;
+  const CallHead& head = first().logic.Last<CallArrived>()->head;
   EXPECT_EQ(head.service, ServiceName("desk"));
   EXPECT_EQ(head.idempotency_key, IdempotencyKey("k"));
 }
@@ -287,8 +287,8 @@
   ASSERT_TRUE(RunUntil(*loop, [this] { return target->connections() == 1; }));
   caller->Close();
   EXPECT_TRUE(RunUntil(*loop, [this] { return target->peer(0).is_at_end(); }));
-  EXPECT_EQ(first().brain.Count<CallerDisconnected>(), 1U);
-  EXPECT_EQ(owner->brain.Count<WorkCancelled>(), 1U);
+  EXPECT_EQ(first().logic.Count<CallerDisconnected>(), 1U);
+  EXPECT_EQ(owner->logic.Count<WorkCancelled>(), 1U);
 }
 
 // Guards against a caller getting part of the answer to another call:
@@ -338,7 +338,7 @@
 // The same for non-repeatable calls: each waits for the one before it.
 TEST_P(PipelinedRelayTest, NonRepeatableCallsRunSequentially) {
   StartNodes(AnswerWithPath);
-  first().brain.is_repeatable = false;
+  first().logic.is_repeatable = false;
   RunPipelinedCalls();
   EXPECT_EQ(target->connections(), 1U);
 }
--- a/source/unit_tests/core/transport/transport_test_support.cc
+++ b/source/unit_tests/core/transport/transport_test_support.cc
@@ -255,13 +255,13 @@
     : random(id),
       table(context),
       settings(LoopbackSettings(id)),
-      driver(context, settings, brain, table, random) {
+      driver(context, settings, logic, table, random) {
   driver.Start();
 }
 
 void TestNode::SendTo(const TestNode& owner) {
-  brain.owner = owner.settings.id;
-  brain.owner_endpoint = owner.driver.stream_endpoint();
+  logic.owner = owner.settings.id;
+  logic.owner_endpoint = owner.driver.stream_endpoint();
 }
 
 void TestNode::Announce(const Endpoint& target) {
--- a/source/unit_tests/core/transport/transport_test_support.h
+++ b/source/unit_tests/core/transport/transport_test_support.h
@@ -163,7 +163,7 @@
   void Announce(const Endpoint& target);
 
   SeededRandomSource random;
-  RelayNodeLogic brain;
+  RelayNodeLogic logic;
   UnavailableTable table;
   DriverSettings settings;
   NodeDriver driver;
