--- a/source/core/transport/callers/caller_answers.cc
+++ b/source/core/transport/callers/caller_answers.cc
@@ -111,9 +111,9 @@
 }
 
 void CallerConnection::OnAnswerBroken(const ExchangePtr& exchange) {
-  const bool is_on_its_way =
+  const bool is_partly_sent =
       exchange->m_answer_state == Exchange::AnswerState::kStreaming;
-  if (is_on_its_way || m_exchanges.size() == 1) {
+  if (is_partly_sent || m_exchanges.size() == 1) {
     Abandon(exchange.get());
     return;
   }
--- a/source/core/transport/callers/caller_connection.cc
+++ b/source/core/transport/callers/caller_connection.cc
@@ -174,8 +174,8 @@
 void CallerConnection::OnReadable(const boost::system::error_code& error) {
   const bool is_body_next =
       !m_exchanges.empty() && m_exchanges.back()->HasUnreadBody();
-  // The input belongs to a request body; whoever reads that body calls
-  // ProcessInput at its end.
+  // While a request body is unread, the input belongs to it, and the code that
+  // reads the body calls ProcessInput at its end.
   if (m_is_closed || m_is_lingering || is_body_next) {
     return;
   }
--- a/source/core/transport/daemon_main.cc
+++ b/source/core/transport/daemon_main.cc
@@ -45,7 +45,7 @@
 
 int Run(int argc, char** argv, DaemonProtocols& protocols) {
   cxxopts::Options options("bulrushmountd",
-                           "Runs one node of bulrushmount beside one target.");
+                           "Runs one node of bulrushmount next to one target.");
   options.add_options()("settings", "Settings file (YAML)",
                         cxxopts::value<std::string>(), "FILE")(
       "check-settings", "Check the settings file and exit")(
--- a/source/core/transport/peers/local_node_stream.cc
+++ b/source/core/transport/peers/local_node_stream.cc
@@ -23,8 +23,8 @@
 
   void Read(ReadCallback callback) override {
     m_read = std::move(callback);
-    if (m_is_taken) {
-      m_is_taken = false;
+    if (m_is_chunk_with_reader) {
+      m_is_chunk_with_reader = false;
       Post(std::exchange(m_written, nullptr), true);
     }
     Deliver();
@@ -71,7 +71,7 @@
     if (m_is_broken) {
       std::exchange(m_read, nullptr)({BodyStatus::kError, {}});
     } else if (!m_chunk.empty()) {
-      m_is_taken = true;
+      m_is_chunk_with_reader = true;
       std::exchange(m_read,
                     nullptr)({BodyStatus::kChunk, std::exchange(m_chunk, {})});
     } else if (m_is_ended) {
@@ -93,7 +93,7 @@
   std::weak_ptr<MemoryPipe> m_self;
   std::string m_chunk;
   // The reader has the chunk, but its write has not been reported complete.
-  bool m_is_taken = false;
+  bool m_is_chunk_with_reader = false;
   bool m_is_ended = false;
   bool m_is_broken = false;
   ReadCallback m_read;
--- a/source/core/transport/peers/node_stream_client.cc
+++ b/source/core/transport/peers/node_stream_client.cc
@@ -83,7 +83,7 @@
   }
 
   void OnSilent() override {
-    if (m_listener && !std::exchange(m_is_told_silent, true)) {
+    if (m_listener && !std::exchange(m_has_reported_silence, true)) {
       m_listener->OnSilent();
     }
   }
@@ -92,7 +92,7 @@
   std::shared_ptr<Http2Stream> m_stream;
   // Null once notified or cancelled.
   AttemptListener* m_listener;
-  bool m_is_told_silent = false;
+  bool m_has_reported_silence = false;
 };
 
 }  // namespace
--- a/source/unit_tests/core/transport/hostile_peer_test.cc
+++ b/source/unit_tests/core/transport/hostile_peer_test.cc
@@ -260,12 +260,12 @@
 
 // --- Invalid fields of a node stream ----------------------------------------
 
-struct WrongField {
+struct InvalidField {
   const char* name;
   const char* value;
 };
 
-class InvalidFieldTest : public ::testing::TestWithParam<WrongField> {};
+class InvalidFieldTest : public ::testing::TestWithParam<InvalidField> {};
 
 // A NaN as weight corrupted the order of the admission queue, and a duration
 // close to the maximum overflowed when it was added to the current time.
@@ -290,26 +290,26 @@
     ,
     InvalidFieldTest,
     ::testing::Values(
-        WrongField{"bulrushmount-weight", "nan"},
-        WrongField{"bulrushmount-weight", "inf"},
-        WrongField{"bulrushmount-weight", "-1"},
-        WrongField{"bulrushmount-weight", "0"},
-        WrongField{"bulrushmount-weight", "1e300"},
-        WrongField{"bulrushmount-share", "nan"},
-        WrongField{"bulrushmount-share", "0"},
-        WrongField{"bulrushmount-time-left-us", "9223372036854775"},
-        WrongField{"bulrushmount-load", "1 1 1 9223372036854775807"},
-        WrongField{"bulrushmount-load", "1 1 1 -5"},
-        WrongField{":path", "/a HTTP/1.1"},
-        WrongField{":path", "/a\r\nX-A: 1"},
-        WrongField{":method", "GET /b HTTP/1.1\r\n"},
-        WrongField{"bulrushmount-workspace", "a\r\nX-A: 1"},
-        WrongField{"bulrushmount-workspace", "a\nX-A: 1"},
-        WrongField{"bulrushmount-request-id", "a\x01"}));
+        InvalidField{"bulrushmount-weight", "nan"},
+        InvalidField{"bulrushmount-weight", "inf"},
+        InvalidField{"bulrushmount-weight", "-1"},
+        InvalidField{"bulrushmount-weight", "0"},
+        InvalidField{"bulrushmount-weight", "1e300"},
+        InvalidField{"bulrushmount-share", "nan"},
+        InvalidField{"bulrushmount-share", "0"},
+        InvalidField{"bulrushmount-time-left-us", "9223372036854775"},
+        InvalidField{"bulrushmount-load", "1 1 1 9223372036854775807"},
+        InvalidField{"bulrushmount-load", "1 1 1 -5"},
+        InvalidField{":path", "/a HTTP/1.1"},
+        InvalidField{":path", "/a\r\nX-A: 1"},
+        InvalidField{":method", "GET /b HTTP/1.1\r\n"},
+        InvalidField{"bulrushmount-workspace", "a\r\nX-A: 1"},
+        InvalidField{"bulrushmount-workspace", "a\nX-A: 1"},
+        InvalidField{"bulrushmount-request-id", "a\x01"}));
 
 // A line break in a field split the request that the owner wrote to its target:
 // HTTP/2 can carry any bytes, and fields were forwarded unchanged.
-TEST(FieldNameTest, NamesThatHttp1ReadsOtherwiseAreRefused) {
+TEST(FieldNameTest, NamesThatHttp1ParsesDifferentlyAreRefused) {
   for (const char* const name :
        {"bulrUshmount-weight", "x a", "x\r\ny", "x:y", "", ":"}) {
     HeaderList request = ValidFields();
--- a/source/unit_tests/core/transport/relay_test.cc
+++ b/source/unit_tests/core/transport/relay_test.cc
@@ -181,7 +181,7 @@
   }
 }
 
-TEST_P(RelayTest, TargetThatCannotBeReachedIsNotRun) {
+TEST_P(RelayTest, CallToUnreachableTargetIsNotRun) {
   StartNodes(Always(kHello));
   target->Close();
   caller->Send(Get("/a"));
@@ -204,8 +204,8 @@
   StartNodes(Always(kHello));
   caller->Send(Get("/a"));
   ASSERT_TRUE(RunUntilReceived("hello"));
-  const LoadReport told{3, 2, 12, std::chrono::milliseconds(4)};
-  EXPECT_EQ(first().logic.Last<AttemptAnswerBegun>()->load, told);
+  const LoadReport expected_load{3, 2, 12, std::chrono::milliseconds(4)};
+  EXPECT_EQ(first().logic.Last<AttemptAnswerBegun>()->load, expected_load);
 }
 
 struct Bodiless {
