--- a/source/core/reporting/log_digest.h
+++ b/source/core/reporting/log_digest.h
@@ -61,7 +61,7 @@
   // The configuration revision of a process at its last line in the window.
   LogSample revisions;
   std::uint64_t dependencies_lost = 0;
-  // Reports of processes that were suspended or late.
+  // Number of `membership.paused` events: a process was suspended or late.
   std::uint64_t pauses = 0;
 
   void Merge(const LogWindow& other);
