--- a/source/examples/embed_claims.cc
+++ b/source/examples/embed_claims.cc
@@ -1,8 +1,7 @@
 // Example: embeds the idempotency claims in another program, which supplies the
-// table, the clock and the random source. Two claim books stand for two
-// processes that receive the same booking: one executes it, the other is
-// refused meanwhile and replays the stored answer later. Exits with 1 if this
-// fails.
+// table, the clock and the random source. Two claim books act as two processes
+// that receive the same booking: one executes it, the other is refused
+// meanwhile and replays the stored answer later. Exits with 1 if this fails.
 
 #include <chrono>
 #include <cstdlib>
