--- a/source/core/transport/callers/caller_connection.cc
+++ b/source/core/transport/callers/caller_connection.cc
@@ -41,12 +41,12 @@
 // at once instead of at a timeout.
 std::size_t HeadLength(std::string_view text, std::size_t from) {
   const std::size_t start = from < 3 ? 0 : from - 3;
-  const std::size_t sound = text.find("\n\r\n", start);
-  const std::size_t bare = text.find("\n\n", start);
-  if (sound == std::string_view::npos && bare == std::string_view::npos) {
+  const std::size_t crlf = text.find("\n\r\n", start);
+  const std::size_t lf = text.find("\n\n", start);
+  if (crlf == std::string_view::npos && lf == std::string_view::npos) {
     return 0;
   }
-  return sound < bare ? sound + 3 : bare + 2;
+  return crlf < lf ? crlf + 3 : lf + 2;
 }
 
 bool IsValidRequestId(const std::string& id) {
--- a/source/core/transport/callers/caller_connection.h
+++ b/source/core/transport/callers/caller_connection.h
@@ -43,8 +43,9 @@
   void StartRefused();
 
   // Reads no further request while one is unanswered, and closes after the
-  // pending answers. Requests received after the last answered one are not run;
-  // the caller has to send them again.
+  // pending answers; an idle connection closes after its next answer. Requests
+  // received after the last answered one are not run; the caller has to send
+  // them again.
   void Drain();
   void Close();
   bool is_idle() const { return m_exchanges.empty() && m_writer->is_idle(); }
--- a/source/core/transport/callers/caller_server.h
+++ b/source/core/transport/callers/caller_server.h
@@ -124,7 +124,8 @@
   // Open connections, including those being rejected.
   std::size_t connection_count() const;
 
-  // Closes each connection, existing or new, after its pending answers.
+  // Closes each connection, existing or new, after its pending answers; one
+  // without a pending answer is closed after its next answer.
   void CloseAfterAnswers();
   // The same, and accepts no new connections.
   void Drain();
--- a/source/unit_tests/core/transport/burn_report_collector_test.cc
+++ b/source/unit_tests/core/transport/burn_report_collector_test.cc
@@ -77,14 +77,14 @@
       std::vector<Endpoint> endpoints,
       const BurnReportCollectorSettings& settings) {
     BurnReportCollector collector(context.get_executor(), client, settings);
-    std::optional<BurnReport> gathered;
+    std::optional<BurnReport> collected;
     collector.Collect(
         own, std::move(endpoints),
-        [&gathered](const BurnReport& report) { gathered = report; });
-    EXPECT_FALSE(gathered);
+        [&collected](const BurnReport& report) { collected = report; });
+    EXPECT_FALSE(collected);
     EXPECT_TRUE(
-        RunUntil(context, [&gathered] { return gathered.has_value(); }));
-    return gathered;
+        RunUntil(context, [&collected] { return collected.has_value(); }));
+    return collected;
   }
 
   boost::asio::io_context context;
@@ -147,10 +147,10 @@
 // Guards against a report that never completes: a member was killed, and the
 // request to it is sent before the fleet has detected that.
 TEST_F(BurnReportCollectorTest, CountsAnUnreachableNodeAsMissing) {
-  const Endpoint gone = AddPeer(std::nullopt);
-  const Endpoint there = AddPeer(ToJson(MakePart(5)));
+  const Endpoint unreachable = AddPeer(std::nullopt);
+  const Endpoint reachable = AddPeer(ToJson(MakePart(5)));
   peers[0]->server.Close();
-  const auto report = Collect(MakePart(3), {gone, there}, {});
+  const auto report = Collect(MakePart(3), {unreachable, reachable}, {});
   ASSERT_TRUE(report);
   EXPECT_EQ(report->nodes, 2U);
   EXPECT_EQ(report->nodes_missing, 1U);
@@ -163,8 +163,8 @@
   settings.part_timeout = kShortLimit;
   settings.max_concurrent_requests = 1;
   const Endpoint silent_peer = AddSilentPeer();
-  const Endpoint there = AddPeer(ToJson(MakePart(5)));
-  const auto report = Collect(MakePart(3), {silent_peer, there}, settings);
+  const Endpoint reachable = AddPeer(ToJson(MakePart(5)));
+  const auto report = Collect(MakePart(3), {silent_peer, reachable}, settings);
   ASSERT_TRUE(report);
   EXPECT_EQ(report->nodes, 2U);
   EXPECT_EQ(report->nodes_missing, 1U);
--- a/source/unit_tests/core/transport/caller_pipeline_property_test.cc
+++ b/source/unit_tests/core/transport/caller_pipeline_property_test.cc
@@ -77,7 +77,7 @@
     RC_ASSERT(m_server.Listen({"127.0.0.1", 0}));
     m_acceptor.on_call = [this](const std::string& target) {
       if (!target.starts_with(kRepeatable))
-        m_are_bookings_in_turn &= m_finished + 1 == m_acceptor.targets.size();
+        m_is_order_kept &= m_finished + 1 == m_acceptor.targets.size();
     };
     m_caller = RawPeer::Connect(m_context, m_server.endpoint());
     std::string all;
@@ -108,7 +108,7 @@
   const PipelineAcceptor& acceptor() const { return m_acceptor; }
   // Whether each non-repeatable request was submitted only after all requests
   // submitted before it were answered.
-  bool are_bookings_in_turn() const { return m_are_bookings_in_turn; }
+  bool is_order_kept() const { return m_is_order_kept; }
 
   std::string TargetOf(std::size_t index) const {
     const char* const kind =
@@ -156,15 +156,15 @@
   void ReadBody(std::size_t index) {
     auto source = m_acceptor.calls.at(TargetOf(index))->OpenBody();
     RC_ASSERT(source != nullptr);
-    ProcessInput(index, source, 0);
+    ReadRest(index, source, 0);
   }
 
-  void ProcessInput(std::size_t index,
-                    const std::shared_ptr<BodySource>& source,
-                    std::size_t got) {
+  void ReadRest(std::size_t index,
+                const std::shared_ptr<BodySource>& source,
+                std::size_t got) {
     source->Read([this, index, source, got](const BodyRead& read) {
       if (read.status == BodyStatus::kChunk)
-        ProcessInput(index, source, got + read.data.size());
+        ReadRest(index, source, got + read.data.size());
       else if (read.status == BodyStatus::kEnd && got == m_script[index].body)
         Answer(index);
     });
@@ -182,12 +182,12 @@
             ? BodyShape{BodyFraming::kChunked, 0}
             : BodyShape{BodyFraming::kLength, request.answer};
     if (const auto sink = exchange->BeginAnswer(HeadOf(TargetOf(index), shape)))
-      WriteOn(index, sink, 0);
+      WriteRest(index, sink, 0);
   }
 
-  void WriteOn(std::size_t index,
-               const std::shared_ptr<BodySink>& sink,
-               std::size_t sent) {
+  void WriteRest(std::size_t index,
+                 const std::shared_ptr<BodySink>& sink,
+                 std::size_t sent) {
     std::string body = AnswerBodyOf(index);
     const bool fails = m_script[index].fault == AnswerFault::kMidway;
     if (fails)
@@ -205,7 +205,7 @@
     sink->Write(piece,
                 [this, index, sink, next = sent + piece.size()](bool is_taken) {
                   if (is_taken)
-                    WriteOn(index, sink, next);
+                    WriteRest(index, sink, next);
                 });
   }
 
@@ -217,7 +217,7 @@
   std::shared_ptr<RawPeer> m_caller;
   std::vector<bool> m_is_started;
   std::size_t m_finished = 0;
-  bool m_are_bookings_in_turn = true;
+  bool m_is_order_kept = true;
 };
 
 // On a sequential connection, the k-th answer is the complete answer to the
@@ -253,7 +253,7 @@
     request.fault = AnswerFault::kNone;
   PipelineRun play(script);
   play.Run();
-  RC_ASSERT(play.are_bookings_in_turn());
+  RC_ASSERT(play.is_order_kept());
   const std::vector<std::string>& targets = play.acceptor().targets;
   RC_ASSERT(targets.size() == script.size());
   for (std::size_t index = 0; index < targets.size(); ++index)
--- a/source/unit_tests/core/transport/caller_pipeline_support.h
+++ b/source/unit_tests/core/transport/caller_pipeline_support.h
@@ -29,7 +29,7 @@
     calls[exchange->head().target] = std::move(exchange);
   }
   void OnCallerDisconnected(const CallerExchange& exchange) override {
-    ++gone[exchange.head().target];
+    ++disconnects[exchange.head().target];
   }
   bool IsRepeatable(const CallHead& head) const override {
     return head.target.starts_with(kRepeatable);
@@ -40,7 +40,7 @@
   std::function<void(const std::string& target)> on_call;
   std::vector<std::string> targets;
   std::map<std::string, std::shared_ptr<CallerExchange>> calls;
-  std::map<std::string, int> gone;
+  std::map<std::string, int> disconnects;
 };
 
 inline AnswerHead HeadOf(const std::string& target, const BodyShape& shape) {
--- a/source/unit_tests/core/transport/caller_pipeline_test.cc
+++ b/source/unit_tests/core/transport/caller_pipeline_test.cc
@@ -172,9 +172,10 @@
   StartAndSend({"/safe/0", "/safe/1", "/book/2"});
   ASSERT_TRUE(RunUntilCall("/safe/1"));
   caller->Close();
-  ASSERT_TRUE(RunUntil(context, [this] { return acceptor.gone.size() == 2; }));
-  EXPECT_EQ(acceptor.gone["/safe/0"], 1);
-  EXPECT_EQ(acceptor.gone["/safe/1"], 1);
+  ASSERT_TRUE(
+      RunUntil(context, [this] { return acceptor.disconnects.size() == 2; }));
+  EXPECT_EQ(acceptor.disconnects["/safe/0"], 1);
+  EXPECT_EQ(acceptor.disconnects["/safe/1"], 1);
 }
 
 struct Broken {
@@ -185,7 +186,7 @@
   // Bytes of its body that are written before that.
   std::size_t sent;
   // Whether the other requests get their answers.
-  bool spares_others;
+  bool are_others_answered;
 };
 
 class BrokenAnswerTest : public CallerPipelineTest,
@@ -207,17 +208,17 @@
     if (index != GetParam().index)
       Answer("/safe/" + std::to_string(index));
   }
-  if (!GetParam().spares_others) {
+  if (!GetParam().are_others_answered) {
     ASSERT_TRUE(RunUntilEnd());
     EXPECT_TRUE(answers().empty());
-    EXPECT_EQ(acceptor.gone.size(), 2U);
-    EXPECT_FALSE(acceptor.gone.contains(target));
+    EXPECT_EQ(acceptor.disconnects.size(), 2U);
+    EXPECT_FALSE(acceptor.disconnects.contains(target));
     return;
   }
   ASSERT_TRUE(RunUntilAnswers(3));
   for (std::size_t index = 0; index < 3; ++index)
     EXPECT_EQ(answers()[index].status, index == GetParam().index ? 502 : 200);
-  EXPECT_TRUE(acceptor.gone.empty());
+  EXPECT_TRUE(acceptor.disconnects.empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(
--- a/source/unit_tests/core/transport/caller_server_test.cc
+++ b/source/unit_tests/core/transport/caller_server_test.cc
@@ -19,11 +19,11 @@
   void OnCall(std::shared_ptr<CallerExchange> exchange) override {
     calls.push_back(std::move(exchange));
   }
-  void OnCallerDisconnected(const CallerExchange&) override { ++gone; }
+  void OnCallerDisconnected(const CallerExchange&) override { ++disconnects; }
   bool IsRepeatable(const CallHead&) const override { return is_repeatable; }
 
   std::vector<std::shared_ptr<CallerExchange>> calls;
-  int gone = 0;
+  int disconnects = 0;
   bool is_repeatable = true;
 };
 
@@ -266,7 +266,7 @@
   caller->Send(Get("/a"));
   ASSERT_TRUE(RunUntilCalls(1));
   caller->Close();
-  EXPECT_TRUE(RunUntil(context, [this] { return acceptor.gone == 1; }));
+  EXPECT_TRUE(RunUntil(context, [this] { return acceptor.disconnects == 1; }));
   // Must have no effect.
   acceptor.calls[0]->Answer(AnswerHead{200, {}, {}}, "late");
 }
@@ -292,12 +292,12 @@
   const auto other = RawPeer::Connect(context, server.endpoint());
   other->Send("GET / HTTP/1.1\r\nHost: desk\r\n\r\n");
   ASSERT_TRUE(RunUntilCalls(2));
-  EXPECT_EQ(acceptor.gone, 0);
+  EXPECT_EQ(acceptor.disconnects, 0);
   std::optional<bool> is_whole;
   sink->Finish([&is_whole](bool is_written) { is_whole = is_written; });
   ASSERT_TRUE(RunUntil(context, [&is_whole] { return is_whole.has_value(); }));
   EXPECT_TRUE(*is_whole);
-  EXPECT_EQ(acceptor.gone, 0);
+  EXPECT_EQ(acceptor.disconnects, 0);
 }
 
 // The same close before the last byte: the caller's answer is incomplete.
@@ -314,7 +314,7 @@
   ASSERT_TRUE(RunUntil(
       context, [this] { return caller->received().ends_with("hell"); }));
   caller->Close();
-  EXPECT_TRUE(RunUntil(context, [this] { return acceptor.gone == 1; }));
+  EXPECT_TRUE(RunUntil(context, [this] { return acceptor.disconnects == 1; }));
 }
 
 }  // namespace
--- a/source/unit_tests/core/transport/node_stream_test.cc
+++ b/source/unit_tests/core/transport/node_stream_test.cc
@@ -153,21 +153,26 @@
 // cancellation were delayed and arrived together, and the request was passed on
 // before the input that arrived with it was processed.
 TEST_F(NodeStreamTest, RequestArrivingWithItsCancellationIsDropped) {
-  RawTarget way(context, [](RawPeer&) {});
+  RawTarget delayed_path(context, [](RawPeer&) {});
   RecordingListener listener;
   WorkRequest request = MakeRequest();
-  const auto left = client.Open(way.endpoint(), request, &listener);
+  const auto cancelled =
+      client.Open(delayed_path.endpoint(), request, &listener);
   request.work.target = "/b";
-  const auto waited_for = client.Open(way.endpoint(), request, &listener);
-  const auto held_up = [&way] { return way.peer(0).received().size(); };
+  const auto remaining =
+      client.Open(delayed_path.endpoint(), request, &listener);
+  const auto delayed_bytes = [&delayed_path] {
+    return delayed_path.peer(0).received().size();
+  };
   ASSERT_TRUE(RunUntil(context, [&] {
-    return way.connections() == 1 && held_up() > NGHTTP2_CLIENT_MAGIC_LEN + 200;
+    return delayed_path.connections() == 1 &&
+           delayed_bytes() > NGHTTP2_CLIENT_MAGIC_LEN + 200;
   }));
-  const std::size_t requests = held_up();
-  left->Cancel();
-  ASSERT_TRUE(RunUntil(context, [&] { return held_up() > requests; }));
+  const std::size_t requests = delayed_bytes();
+  cancelled->Cancel();
+  ASSERT_TRUE(RunUntil(context, [&] { return delayed_bytes() > requests; }));
   const auto entry = RawPeer::Connect(context, server.endpoint());
-  entry->Send(way.peer(0).received());
+  entry->Send(delayed_path.peer(0).received());
   ASSERT_TRUE(RunUntil(context, [this] { return !acceptor.works.empty(); }));
   ASSERT_EQ(acceptor.works.size(), 1U);
   EXPECT_EQ(acceptor.works[0]->request().work.target, "/b");
