--- a/source/core/transport/callers/read_ahead_budget.h
+++ b/source/core/transport/callers/read_ahead_budget.h
@@ -32,7 +32,7 @@
 
     void Release() {
       if (const auto budget = std::exchange(m_budget, nullptr))
-        --budget->m_taken;
+        --budget->m_slots_in_use;
     }
 
     explicit operator bool() const { return m_budget != nullptr; }
@@ -47,20 +47,20 @@
 
   explicit ReadAheadBudget(std::size_t limit) : m_limit(limit) {}
 
-  bool has_room() const { return m_taken < m_limit; }
+  bool has_room() const { return m_slots_in_use < m_limit; }
 
   // Returns an empty slot if the budget is used up.
   Slot Take() {
     if (!has_room())
       return Slot();
-    ++m_taken;
+    ++m_slots_in_use;
     return Slot(shared_from_this());
   }
 
  private:
   std::size_t m_limit;
-  // Slots in use; at most m_limit.
-  std::size_t m_taken = 0;
+  // At most m_limit.
+  std::size_t m_slots_in_use = 0;
 };
 
 }  // namespace bulrushmount
--- a/source/unit_tests/core/reporting/burn_report_test.cc
+++ b/source/unit_tests/core/reporting/burn_report_test.cc
@@ -33,8 +33,9 @@
   EXPECT_NEAR(rate.value_or(0), GetParam().expected.value_or(0), 1e-9);
 }
 
-// 1 bad event of 100 uses up the budget of 99 % exactly; 10 of 100 burn ten
-// times as fast; a weight of 2.5 of 50 at 99.9 % is 0.05 / 0.001.
+// With an objective of 99 %, 1 bad event of 100 uses up the error budget
+// exactly, and 10 of 100 burn it ten times as fast. With 99.9 %, a bad weight
+// of 2.5 of 50 is a rate of 0.05 / 0.001.
 INSTANTIATE_TEST_SUITE_P(Reporting,
                          RateTest,
                          testing::Values(RateCase{{99, 1}, 0.99, 1.0},
